--- a/daemon/planner_task.cc
+++ b/daemon/planner_task.cc
@@ -19,7 +19,7 @@
   PlannerLoopOptions options;
   options.process = process;
   options.worker_lease.length = absl::Seconds(settings.worker.lease_s);
-  options.worker_lease.renew_every = absl::Seconds(settings.worker.renewal_s);
+  options.worker_lease.renewal_interval = absl::Seconds(settings.worker.renewal_s);
   return options;
 }
 
--- a/daemon/worker_task.cc
+++ b/daemon/worker_task.cc
@@ -16,7 +16,7 @@
   options.declared.region = settings.region;
   options.process = process;
   options.lease.length = absl::Seconds(settings.worker.lease_s);
-  options.lease.renew_every = absl::Seconds(settings.worker.renewal_s);
+  options.lease.renewal_interval = absl::Seconds(settings.worker.renewal_s);
   return options;
 }
 
--- a/task/guard.cc
+++ b/task/guard.cc
@@ -8,47 +8,52 @@
 
 namespace {
 
-constexpr int32_t kWholeShare = 100;
-// Keeps the shift in Remember() small; the longest memory is reached before.
-constexpr int kMostDoublings = 10;
-// A task may be evicted in place of the one that adds most when it adds at
-// least this share as much.
-constexpr double kAddsMuch = 0.5;
-
-// What the task would add at its whole share. Ranked by what they add now, the
-// tasks that were throttled first would never be evicted.
-double WholeAdds(const GuardedNeighbour& neighbour, size_t service) {
-  const double share = std::max<int32_t>(neighbour.share_percent, 1);
-  return neighbour.adds[service] * kWholeShare / share;
+constexpr int32_t kFullSharePercent = 100;
+// Keeps the shift in AvoidPair() small; the longest avoidance is reached
+// before.
+constexpr int kMaxDoublings = 10;
+// A task may be evicted in place of the one that adds most growth when it adds
+// at least this share of that growth.
+constexpr double kEvictionCandidateRatio = 0.5;
+
+// The growth that the task would add at its full share. Ranked by present
+// growth, the tasks that were throttled first would never be evicted.
+double GrowthAtFullShare(const ColocatedTask& colocated, size_t service) {
+  const double share = std::max<int32_t>(colocated.share_percent, 1);
+  return colocated.added_growth[service] * kFullSharePercent / share;
 }
 
-double Growth(const GuardedService& service) {
+double LatencyGrowth(const GuardedService& service) {
   return service.baseline_ms > 0 ? service.tail_ms / service.baseline_ms - 1
                                  : 0;
 }
 
-// The tail that the service would have without the present burst of load.
-double UsualTail(const GuardedService& service) {
-  if (service.baseline_ms <= service.usual_ms)
+// The tail latency that the service would have without the present burst of
+// load.
+double TailWithoutBurst(const GuardedService& service) {
+  if (service.baseline_ms <= service.smoothed_baseline_ms)
     return service.tail_ms;
-  return service.tail_ms * service.usual_ms / service.baseline_ms;
+  return service.tail_ms * service.smoothed_baseline_ms / service.baseline_ms;
 }
 
 }  // namespace
 
-void Guard::Ended() {
-  this->budget = std::min(this->options.most_evictions,
-                          this->budget + this->options.evictions_per_end);
+void Guard::RecordAttemptEnd() {
+  this->eviction_budget =
+      std::min(this->options.max_saved_evictions,
+               this->eviction_budget + this->options.evictions_per_attempt);
 }
 
-int Guard::FindSuffering(const GuardView& view) const {
+int Guard::FindMostSlowed(const GuardView& view) const {
   int worst = -1;
   double worst_ratio = 1;
   for (size_t i = 0; i < view.services.size(); ++i) {
     const GuardedService& service = view.services[i];
-    const double ratio =
-        service.target_ms > 0 ? UsualTail(service) / service.target_ms : 0;
-    if (ratio <= worst_ratio || Growth(service) < this->options.least_growth)
+    const double ratio = service.target_ms > 0
+                             ? TailWithoutBurst(service) / service.target_ms
+                             : 0;
+    if (ratio <= worst_ratio ||
+        LatencyGrowth(service) < this->options.min_growth)
       continue;
     worst = static_cast<int>(i);
     worst_ratio = ratio;
@@ -56,41 +61,48 @@
   return worst;
 }
 
-bool Guard::IsCalm(const GuardView& view) const {
+bool Guard::HasHeadroom(const GuardView& view) const {
   return std::all_of(view.services.begin(), view.services.end(),
                      [&](const GuardedService& service) {
                        return service.tail_ms <=
-                              this->options.calm_share * service.target_ms;
+                              this->options.lift_latency_ratio *
+                                  service.target_ms;
                      });
 }
 
-void Guard::Adopt(const GuardView& view, absl::Time now, Throttles* throttles) {
-  Throttles present;
-  for (const GuardedNeighbour& neighbour : view.neighbours) {
-    if (!neighbour.movable || neighbour.share_percent >= kWholeShare)
+void Guard::SyncThrottles(const GuardView& view,
+                          absl::Time now,
+                          Throttles* throttles) {
+  Throttles in_rows;
+  for (const ColocatedTask& colocated : view.colocated_tasks) {
+    if (!colocated.preemptible || colocated.share_percent >= kFullSharePercent)
       continue;
-    const auto known = throttles->find(neighbour.task);
-    const bool unchanged = known != throttles->end() &&
-                           known->second.first == neighbour.share_percent;
-    present[neighbour.task] = {neighbour.share_percent,
-                               unchanged ? known->second.second : now};
+    const auto tracked = throttles->find(colocated.task);
+    const bool unchanged = tracked != throttles->end() &&
+                           tracked->second.first == colocated.share_percent;
+    in_rows[colocated.task] = {colocated.share_percent,
+                               unchanged ? tracked->second.second : now};
   }
-  *throttles = std::move(present);
+  *throttles = std::move(in_rows);
 }
 
-std::vector<GuardAction> Guard::Judge(const GuardView& view, absl::Time now) {
+std::vector<GuardAction> Guard::Evaluate(const GuardView& view,
+                                         absl::Time now) {
   WorkerRecord& record = this->workers[view.worker];
-  record.reported = now;
-  if (view.at < record.acted + this->options.settle)
+  record.last_report = now;
+  if (view.measured_at < record.last_action + this->options.settling_time)
     return {};
-  Adopt(view, now, &record.throttled);
-  const int suffering = this->FindSuffering(view);
-  record.slow = suffering >= 0 ? record.slow + 1 : 0;
-  record.calm = this->IsCalm(view) ? record.calm + 1 : 0;
-  if (record.slow >= this->options.slow_reports)
-    return this->Relieve(view, static_cast<size_t>(suffering), now, &record);
-  record.calm_needed = std::max(record.calm_needed, this->options.calm_reports);
-  if (record.calm >= record.calm_needed && !record.throttled.empty())
+  SyncThrottles(view, now, &record.throttled);
+  const int slowed = this->FindMostSlowed(view);
+  record.slow_streak = slowed >= 0 ? record.slow_streak + 1 : 0;
+  record.headroom_streak =
+      this->HasHeadroom(view) ? record.headroom_streak + 1 : 0;
+  if (record.slow_streak >= this->options.reports_before_action)
+    return this->Relieve(view, static_cast<size_t>(slowed), now, &record);
+  record.headroom_needed =
+      std::max(record.headroom_needed, this->options.reports_before_lift);
+  if (record.headroom_streak >= record.headroom_needed &&
+      !record.throttled.empty())
     return this->Lift(now, &record);
   return {};
 }
@@ -99,125 +111,129 @@
                                         size_t service,
                                         absl::Time now,
                                         WorkerRecord* record) {
-  if (now < record->lifted + this->options.lift_trial) {
-    record->calm_needed =
-        std::min(2 * record->calm_needed, this->options.most_calm_reports);
-    record->lifted = absl::InfinitePast();
+  if (now < record->last_lift + this->options.early_lift_window) {
+    record->headroom_needed = std::min(2 * record->headroom_needed,
+                                       this->options.max_reports_before_lift);
+    record->last_lift = absl::InfinitePast();
   }
-  const GuardedNeighbour* worst = nullptr;
-  for (const GuardedNeighbour& neighbour : view.neighbours) {
-    if (neighbour.movable &&
-        (worst == nullptr ||
-         WholeAdds(neighbour, service) > WholeAdds(*worst, service)))
-      worst = &neighbour;
+  const ColocatedTask* worst = nullptr;
+  for (const ColocatedTask& colocated : view.colocated_tasks) {
+    if (colocated.preemptible &&
+        (worst == nullptr || GrowthAtFullShare(colocated, service) >
+                                 GrowthAtFullShare(*worst, service)))
+      worst = &colocated;
   }
   const GuardedService& victim = view.services[service];
-  // Without a neighbour that adds a fair part of the growth, moving any would
-  // be a guess.
-  const double least = this->options.least_growth / 2;
-  if (worst == nullptr || WholeAdds(*worst, service) < least)
+  // Without a co-located task that adds a fair part of the growth, moving any
+  // would be a guess.
+  const double min_added = this->options.min_growth / 2;
+  if (worst == nullptr || GrowthAtFullShare(*worst, service) < min_added)
     return {};
   auto& throttled = record->throttled;
-  const auto known = throttled.find(worst->task);
+  const auto tracked = throttled.find(worst->task);
   const int32_t share =
-      known == throttled.end() ? kWholeShare : known->second.first;
-  if (share <= this->options.least_share_percent) {
-    if (now < known->second.second + this->options.evict_after)
+      tracked == throttled.end() ? kFullSharePercent : tracked->second.first;
+  if (share <= this->options.min_share_percent) {
+    if (now < tracked->second.second + this->options.evict_after)
       return {};
-    return this->Evict(view, service, kAddsMuch * WholeAdds(*worst, service),
-                       now, record);
+    return this->Evict(
+        view, service,
+        kEvictionCandidateRatio * GrowthAtFullShare(*worst, service), now,
+        record);
   }
   const int32_t next =
-      share == kWholeShare
-          ? this->options.first_share_percent
-          : std::max(share / 2, this->options.least_share_percent);
+      share == kFullSharePercent
+          ? this->options.initial_share_percent
+          : std::max(share / 2, this->options.min_share_percent);
   throttled[worst->task] = {next, now};
-  record->acted = now;
-  record->slow = 0;
+  record->last_action = now;
+  record->slow_streak = 0;
   return {{GuardAction::Kind::kThrottle, worst->task, next,
            StrCat("slows down ", victim.service)}};
 }
 
 std::vector<GuardAction> Guard::Evict(const GuardView& view,
                                       size_t service,
-                                      double least_adds,
+                                      double min_added,
                                       absl::Time now,
                                       WorkerRecord* record) {
-  if (this->budget < 1)
+  if (this->eviction_budget < 1)
     return {};
-  const GuardedNeighbour* cheapest = nullptr;
-  for (const GuardedNeighbour& neighbour : view.neighbours) {
-    if (!neighbour.movable || WholeAdds(neighbour, service) < least_adds)
+  const ColocatedTask* cheapest = nullptr;
+  for (const ColocatedTask& colocated : view.colocated_tasks) {
+    if (!colocated.preemptible ||
+        GrowthAtFullShare(colocated, service) < min_added)
       continue;
-    if (cheapest == nullptr || neighbour.loss < cheapest->loss)
-      cheapest = &neighbour;
+    if (cheapest == nullptr ||
+        colocated.unsaved_core_seconds < cheapest->unsaved_core_seconds)
+      cheapest = &colocated;
   }
   if (cheapest == nullptr)
     return {};
-  this->budget -= 1;
-  record->acted = now;
-  record->slow = 0;
+  this->eviction_budget -= 1;
+  record->last_action = now;
+  record->slow_streak = 0;
   record->throttled.erase(cheapest->task);
   const std::string& name = view.services[service].service;
-  this->Remember(name, cheapest->owner, now);
-  return {{GuardAction::Kind::kEvict, cheapest->task, kWholeShare,
+  this->AvoidPair(name, cheapest->owner, now);
+  return {{GuardAction::Kind::kEvict, cheapest->task, kFullSharePercent,
            StrCat("slowed down ", name, " although throttled")}};
 }
 
 std::vector<GuardAction> Guard::Lift(absl::Time now, WorkerRecord* record) {
-  const auto least =
+  const auto oldest =
       std::min_element(record->throttled.begin(), record->throttled.end(),
                        [](const auto& a, const auto& b) {
                          return a.second.second < b.second.second;
                        });
-  const std::string task = least->first;
-  const int32_t share = std::min(2 * least->second.first, kWholeShare);
-  if (share == kWholeShare)
-    record->throttled.erase(least);
+  const std::string task = oldest->first;
+  const int32_t share = std::min(2 * oldest->second.first, kFullSharePercent);
+  if (share == kFullSharePercent)
+    record->throttled.erase(oldest);
   else
-    least->second = {share, now};
-  record->acted = now;
-  record->lifted = now;
-  record->calm = 0;
+    oldest->second = {share, now};
+  record->last_action = now;
+  record->last_lift = now;
+  record->headroom_streak = 0;
   return {{GuardAction::Kind::kThrottle, task, share,
-           "the services beside it are calm"}};
+           "latency of the co-located services has recovered"}};
 }
 
-std::vector<GuardAction> Guard::LiftUnreported(absl::Time now) {
+std::vector<GuardAction> Guard::LiftThrottlesWithoutReports(absl::Time now) {
   std::vector<GuardAction> out;
   for (auto it = this->workers.begin(); it != this->workers.end();) {
-    if (now < it->second.reported + this->options.report_timeout) {
+    if (now < it->second.last_report + this->options.report_timeout) {
       ++it;
       continue;
     }
     for (const auto& [task, throttle] : it->second.throttled) {
-      out.push_back({GuardAction::Kind::kThrottle, task, kWholeShare,
-                     "its worker reports no more"});
+      out.push_back({GuardAction::Kind::kThrottle, task, kFullSharePercent,
+                     "worker stopped sending usage reports"});
     }
     it = this->workers.erase(it);
   }
   return out;
 }
 
-void Guard::Remember(const std::string& service,
-                     const std::string& owner,
-                     absl::Time now) {
-  std::erase_if(this->remembered, [&](const auto& item) {
-    return item.second.until + this->options.longest_memory < now;
+void Guard::AvoidPair(const std::string& service,
+                      const std::string& owner,
+                      absl::Time now) {
+  std::erase_if(this->avoided_pairs, [&](const auto& item) {
+    return item.second.expiry + this->options.max_avoidance < now;
   });
-  Memory& memory = this->remembered[{service, owner}];
-  const int doublings = std::min(memory.evictions, kMostDoublings);
-  memory.until = now + std::min(this->options.longest_memory,
-                                this->options.first_memory *
-                                    static_cast<double>(1 << doublings));
-  ++memory.evictions;
+  AvoidedPair& avoided = this->avoided_pairs[{service, owner}];
+  const int doublings = std::min(avoided.evictions, kMaxDoublings);
+  avoided.expiry = now + std::min(this->options.max_avoidance,
+                                  this->options.initial_avoidance *
+                                      static_cast<double>(1 << doublings));
+  ++avoided.evictions;
 }
 
-bool Guard::IsRemembered(const std::string& service,
-                         const std::string& owner,
-                         absl::Time now) const {
-  const auto found = this->remembered.find({service, owner});
-  return found != this->remembered.end() && now < found->second.until;
+bool Guard::IsPairAvoided(const std::string& service,
+                          const std::string& owner,
+                          absl::Time now) const {
+  const auto found = this->avoided_pairs.find({service, owner});
+  return found != this->avoided_pairs.end() && now < found->second.expiry;
 }
 
 }  // namespace cuminjunction
--- a/task/guard.h
+++ b/task/guard.h
@@ -1,23 +1,24 @@
 #ifndef TASK_GUARD_H_
 #define TASK_GUARD_H_
 
-// Relieves services whose tail latency suffers from neighbours on their worker.
+// Throttles and evicts batch tasks that slow down the services on their worker.
 //
 //   Guard guard((GuardOptions()));
-//   for (const GuardAction& action : guard.Judge(view, now)) ...
+//   for (const GuardAction& action : guard.Evaluate(view, now)) ...
 //
-// A service counts as suffering when its tail is above its target and its
-// neighbours, not the load, account for it: a tail that is slow on all workers
-// is load and leads to no action, nor does one that a burst of load, beyond the
-// load of the last minutes, lifts above the target. After some such reports in
-// a row the batch task that adds most is throttled, step by step. When that has
-// failed for a while, a task is evicted, the one that loses the least work
-// among those that add much, and the pair of service and job is remembered.
-// Throttles are lifted step by step after a calm time, which grows when a
-// lifted throttle is needed again.
+// A service counts as slowed when its tail latency is above its target and
+// interference from co-located tasks, not load, explains it. A tail that is
+// slow on all workers is load and leads to no action. Nor does a tail that
+// exceeds the target only through a burst of load above that of the last
+// minutes. After several such reports in a row the batch task that adds most is
+// throttled, step by step. When the least share has not helped for a while, a
+// task is evicted: of those that add much, the one that loses the least work.
+// The pair of service and job is then avoided for a time.
+// Throttles are lifted step by step after a run of reports with headroom. The
+// run grows longer when a lifted throttle is needed again.
 //
-// Reports are late. What was measured before an action took effect counts
-// neither for nor against the next one.
+// Reports arrive late. A measurement from before an action took effect counts
+// neither for nor against the next action.
 
 #include <cstdint>
 #include <map>
@@ -30,28 +31,31 @@
 namespace cuminjunction {
 
 struct GuardOptions {
-  // Growth of the tail over the service's baseline that neighbours must add.
-  double least_growth = 0.15;
-  // Share of the target below which a service is calm.
-  double calm_share = 0.85;
-  // Reports in a row that make a worker suffering, and calm.
-  int slow_reports = 2;
-  int calm_reports = 6;
-  int most_calm_reports = 60;
-  // What is measured this long after an action shows its effect.
-  absl::Duration settle = absl::Seconds(10);
-  // A throttle needed again so soon after it was lifted was lifted too early.
-  absl::Duration lift_trial = absl::Minutes(5);
-  int32_t first_share_percent = 50;
-  int32_t least_share_percent = 25;
-  // How long the least share must have failed before a task is evicted.
+  // Growth of the tail latency over the service's baseline, as a fraction, that
+  // co-located tasks must add.
+  double min_growth = 0.15;
+  // Tail latency as a fraction of the target up to which a service has headroom
+  // and throttles may be lifted.
+  double lift_latency_ratio = 0.85;
+  // Reports in a row before an action, and before a throttle is lifted. The
+  // latter count is doubled up to the maximum when a lift came too early.
+  int reports_before_action = 2;
+  int reports_before_lift = 6;
+  int max_reports_before_lift = 60;
+  // Measurements taken this long after an action show its effect.
+  absl::Duration settling_time = absl::Seconds(10);
+  // A throttle needed again this soon after a lift was lifted too early.
+  absl::Duration early_lift_window = absl::Minutes(5);
+  int32_t initial_share_percent = 50;
+  int32_t min_share_percent = 25;
+  // Time for which the least share must fail to help before an eviction.
   absl::Duration evict_after = absl::Seconds(30);
-  // Evictions for each attempt that ended, and the most saved up.
-  double evictions_per_end = 0.015;
-  double most_evictions = 10;
-  // A pair is remembered for this time, doubled with each eviction.
-  absl::Duration first_memory = absl::Minutes(30);
-  absl::Duration longest_memory = absl::Hours(24);
+  // Evictions earned per attempt that ended, and the most saved up.
+  double evictions_per_attempt = 0.015;
+  double max_saved_evictions = 10;
+  // A pair is avoided for this time, doubled with each eviction.
+  absl::Duration initial_avoidance = absl::Minutes(30);
+  absl::Duration max_avoidance = absl::Hours(24);
   // Throttles of a worker without reports are lifted after this time.
   absl::Duration report_timeout = absl::Minutes(3);
 };
@@ -59,32 +63,34 @@
 // A service with a replica on the worker.
 struct GuardedService {
   std::string service;
+  // Tail latency, its target and its value without co-located tasks.
   double tail_ms = 0;
   double target_ms = 0;
   double baseline_ms = 0;
   // The baseline of the last minutes, without a burst.
-  double usual_ms = 0;
+  double smoothed_baseline_ms = 0;
 };
 
-// A task beside them.
-struct GuardedNeighbour {
+// A task on the same worker as the services.
+struct ColocatedTask {
   std::string task;
   std::string owner;
   // Batch work that may be throttled and evicted.
-  bool movable = false;
+  bool preemptible = false;
   int32_t share_percent = 100;
   // Core-seconds of work since its last checkpoint or start.
-  double loss = 0;
-  // Growth that it adds to the tail of each service, in their order.
-  std::vector<double> adds;
+  double unsaved_core_seconds = 0;
+  // Growth that it adds to the tail latency of each service, in the order of
+  // GuardView::services.
+  std::vector<double> added_growth;
 };
 
-// A worker at the time of a report.
+// A worker's services and tasks as measured for one report.
 struct GuardView {
   std::string worker;
-  absl::Time at;
+  absl::Time measured_at;
   std::vector<GuardedService> services;
-  std::vector<GuardedNeighbour> neighbours;
+  std::vector<ColocatedTask> colocated_tasks;
 };
 
 struct GuardAction {
@@ -93,7 +99,7 @@
   Kind kind = Kind::kThrottle;
   std::string task;
   int32_t share_percent = 100;
-  // Why, for the task's row and for operators.
+  // Cause of the action, for the task's row and for operators.
   std::string reason;
 
   bool operator==(const GuardAction&) const = default;
@@ -103,66 +109,68 @@
  public:
   explicit Guard(const GuardOptions& options) : options(options) {}
 
-  // An attempt has ended, which adds to the budget of evictions.
-  void Ended();
+  // Adds one ended attempt to the budget of evictions.
+  void RecordAttemptEnd();
 
-  // Decides about one worker's newest report.
-  std::vector<GuardAction> Judge(const GuardView& view, absl::Time now);
+  // Decides on actions for a worker's newest report.
+  std::vector<GuardAction> Evaluate(const GuardView& view, absl::Time now);
 
-  // Lifts throttles of workers that report no more.
-  std::vector<GuardAction> LiftUnreported(absl::Time now);
+  // Lifts throttles of workers that have sent no report for `report_timeout`.
+  std::vector<GuardAction> LiftThrottlesWithoutReports(absl::Time now);
 
-  // True when a task of the owner was evicted from beside the service not long
-  // ago.
-  bool IsRemembered(const std::string& service,
-                    const std::string& owner,
-                    absl::Time now) const;
+  // True when a recent eviction keeps tasks of the owner off the service's
+  // workers.
+  bool IsPairAvoided(const std::string& service,
+                     const std::string& owner,
+                     absl::Time now) const;
 
  private:
   // Throttled tasks with their shares and the time of the last step.
   using Throttles = std::map<std::string, std::pair<int32_t, absl::Time>>;
 
   struct WorkerRecord {
-    int slow = 0;
-    int calm = 0;
-    int calm_needed = 0;
-    absl::Time reported;
-    absl::Time acted = absl::InfinitePast();
-    absl::Time lifted = absl::InfinitePast();
+    // Reports in a row with a slowed service, and with headroom.
+    int slow_streak = 0;
+    int headroom_streak = 0;
+    int headroom_needed = 0;
+    absl::Time last_report;
+    absl::Time last_action = absl::InfinitePast();
+    absl::Time last_lift = absl::InfinitePast();
     Throttles throttled;
   };
-  struct Memory {
-    absl::Time until;
+  struct AvoidedPair {
+    absl::Time expiry;
     int evictions = 0;
   };
 
-  // Takes over what the rows say: a decision may have been refused, and another
-  // planner may have throttled.
-  static void Adopt(const GuardView& view,
-                    absl::Time now,
-                    Throttles* throttles);
+  // Replaces the throttles by those in the rows: a decision may have been
+  // refused, and another planner may have throttled.
+  static void SyncThrottles(const GuardView& view,
+                            absl::Time now,
+                            Throttles* throttles);
 
-  // Index of the service that suffers most; -1 for none.
-  int FindSuffering(const GuardView& view) const;
-  bool IsCalm(const GuardView& view) const;
+  // Index of the service with the highest latency ratio; -1 when none is
+  // slowed.
+  int FindMostSlowed(const GuardView& view) const;
+  bool HasHeadroom(const GuardView& view) const;
   std::vector<GuardAction> Relieve(const GuardView& view,
                                    size_t service,
                                    absl::Time now,
                                    WorkerRecord* record);
   std::vector<GuardAction> Evict(const GuardView& view,
                                  size_t service,
-                                 double least_adds,
+                                 double min_added,
                                  absl::Time now,
                                  WorkerRecord* record);
   std::vector<GuardAction> Lift(absl::Time now, WorkerRecord* record);
-  void Remember(const std::string& service,
-                const std::string& owner,
-                absl::Time now);
+  void AvoidPair(const std::string& service,
+                 const std::string& owner,
+                 absl::Time now);
 
   GuardOptions options;
-  double budget = 0;
+  double eviction_budget = 0;
   std::map<std::string, WorkerRecord> workers;
-  std::map<std::pair<std::string, std::string>, Memory> remembered;
+  std::map<std::pair<std::string, std::string>, AvoidedPair> avoided_pairs;
 };
 
 }  // namespace cuminjunction
--- a/task/learned_scorer.cc
+++ b/task/learned_scorer.cc
@@ -153,7 +153,7 @@
     const bool too_much =
         known && adds >= kLeastGrowth && of_target > kRefusedShare;
     if (may_wait &&
-        (too_much || this->guard.IsRemembered(service, task.owner, now)))
+        (too_much || this->guard.IsPairAvoided(service, task.owner, now)))
       score->allowed = false;
   }
 }
@@ -172,7 +172,7 @@
 
 void LearnedScorer::Ended(const AttemptOutcome& outcome, absl::Time now) {
   this->blame.Ended(outcome, now);
-  this->guard.Ended();
+  this->guard.RecordAttemptEnd();
 }
 
 WorkerVerdict LearnedScorer::Blame(const WorkerRow& worker,
@@ -209,7 +209,7 @@
                                 absl::Time now) const {
   GuardView view;
   view.worker = report.worker;
-  view.at = report.at;
+  view.measured_at = report.at;
   for (const TaskUsage& task : report.tasks) {
     if (task.tail_ms > 0 && this->TargetOf(task.owner) > 0) {
       view.services.push_back({task.owner, task.tail_ms,
@@ -225,28 +225,28 @@
         assignment->action != AssignmentAction::kRun)
       continue;
     const TaskRow& row = entry->row;
-    GuardedNeighbour neighbour;
+    ColocatedTask neighbour;
     neighbour.task = used.task;
     neighbour.owner = used.owner;
-    neighbour.movable =
+    neighbour.preemptible =
         row.kind == TaskKind::kBatch && row.urgency != Urgency::kUrgent;
     neighbour.share_percent = assignment->share_percent;
-    neighbour.loss = absl::ToDoubleSeconds(now - FromMicros(row.placed_us)) *
-                     static_cast<double>(row.size.millicores) /
-                     kMillicoresPerCore;
+    neighbour.unsaved_core_seconds =
+        absl::ToDoubleSeconds(now - FromMicros(row.placed_us)) *
+        static_cast<double>(row.size.millicores) / kMillicoresPerCore;
     const double share = ShareOf(used.millicores, worker.capacity);
     for (const GuardedService& service : view.services) {
-      neighbour.adds.push_back(
+      neighbour.added_growth.push_back(
           share * this->interference.Raise(service.service, used.owner));
     }
-    view.neighbours.push_back(std::move(neighbour));
+    view.colocated_tasks.push_back(std::move(neighbour));
   }
   return view;
 }
 
 std::vector<GuardAction> LearnedScorer::Relieve(const State& state,
                                                 absl::Time now) {
-  std::vector<GuardAction> out = this->guard.LiftUnreported(now);
+  std::vector<GuardAction> out = this->guard.LiftThrottlesWithoutReports(now);
   while (!this->windows.empty() && this->windows.begin()->second.due <= now) {
     const std::vector<UsageReport> reports =
         std::move(this->windows.begin()->second.reports);
@@ -257,7 +257,7 @@
       if (worker == nullptr)
         continue;
       const GuardView view = this->ViewOf(report, worker->row, state, now);
-      for (GuardAction& action : this->guard.Judge(view, now))
+      for (GuardAction& action : this->guard.Evaluate(view, now))
         out.push_back(std::move(action));
     }
   }
--- a/task/lease.cc
+++ b/task/lease.cc
@@ -4,13 +4,13 @@
 
 namespace cuminjunction {
 
-void LeaseHolder::Sending(uint64_t sequence, absl::Time now) {
+void LeaseHolder::RecordSend(uint64_t sequence, absl::Time now) {
   // The first time counts: an earlier send with the same sequence number may be
   // the one that takes effect.
   this->sent.try_emplace(sequence, now);
 }
 
-std::optional<absl::Time> LeaseHolder::Committed(uint64_t sequence) {
+std::optional<absl::Time> LeaseHolder::ConfirmRenewal(uint64_t sequence) {
   const auto found = this->sent.find(sequence);
   if (found == this->sent.end())
     return std::nullopt;
@@ -26,7 +26,7 @@
   if (!this->deadline)
     return true;
   const absl::Time sent_at = *this->deadline - this->policy.length;
-  return now >= sent_at + this->policy.renew_every;
+  return now >= sent_at + this->policy.renewal_interval;
 }
 
 void LeaseHolder::Reset() {
@@ -43,9 +43,9 @@
   this->by_start.insert({observation.since, worker});
 }
 
-void LeaseObserver::Readable(absl::Time now) {
+void LeaseObserver::RecordRead(absl::Time now) {
   const bool gap =
-      this->last_read && now - *this->last_read > this->policy.longest_gap;
+      this->last_read && now - *this->last_read > this->policy.max_read_gap;
   if (this->restart || gap) {
     this->by_start.clear();
     for (auto& [worker, observation] : this->observations) {
@@ -58,10 +58,10 @@
   this->last_read = now;
 }
 
-void LeaseObserver::Saw(const std::string& worker,
-                        uint64_t epoch,
-                        uint64_t sequence,
-                        absl::Time now) {
+void LeaseObserver::RecordObservation(const std::string& worker,
+                                      uint64_t epoch,
+                                      uint64_t sequence,
+                                      absl::Time now) {
   const auto found = this->observations.find(worker);
   const bool is_known = found != this->observations.end();
   if (is_known && found->second.epoch == epoch &&
@@ -78,14 +78,14 @@
   this->observations.erase(found);
 }
 
-std::vector<LeaseLapse> LeaseObserver::Lapsed(absl::Time now) const {
-  std::vector<LeaseLapse> out;
+std::vector<ExpiredLease> LeaseObserver::ExpiredLeases(absl::Time now) const {
+  std::vector<ExpiredLease> out;
   const bool is_current = !this->restart && this->last_read &&
-                          now - *this->last_read <= this->policy.longest_gap;
+                          now - *this->last_read <= this->policy.max_read_gap;
   if (!is_current)
     return out;
   for (const auto& [since, worker] : this->by_start) {
-    if (now - since < this->policy.ObservedPeriod())
+    if (now - since < this->policy.ObservationPeriod())
       break;
     const Observation& observation = this->observations.at(worker);
     out.push_back({worker, observation.epoch, observation.sequence});
--- a/task/operate.h
+++ b/task/operate.h
@@ -171,7 +171,7 @@
                                        ++this->transactions));
       const Status decided = step(&batch);
       // The rows were read one after another and may not belong together.
-      if (!decided && decided.error() == TransitionError::kOldAttempt)
+      if (!decided && decided.error() == TransitionError::kStaleAttempt)
         continue;
       if (!decided)
         return decided.error();
--- a/task/placer.cc
+++ b/task/placer.cc
@@ -234,7 +234,7 @@
                           const std::vector<std::string>& victims) const {
   Size left[kUrgencyCount];
   for (const Urgency urgency : {Urgency::kNormal, Urgency::kBatch})
-    left[static_cast<size_t>(urgency)] = state.UseOf(urgency);
+    left[static_cast<size_t>(urgency)] = state.CommittedTo(urgency);
   for (const std::string& id : victims) {
     const TaskRow& victim = state.FindTask(id)->row;
     Size& use = left[static_cast<size_t>(victim.urgency)];
--- a/task/placer_internal.h
+++ b/task/placer_internal.h
@@ -64,7 +64,7 @@
   if (queue == queues.end())
     return false;
   const auto quota = quotas.find(account);
-  const Size use = state->UseOf(account);
+  const Size use = state->CommittedTo(account);
   int looks = 0;
   int skips = 0;
   for (const auto& [created, id] : queue->second) {
--- a/task/planner.h
+++ b/task/planner.h
@@ -49,7 +49,7 @@
 // What a round may do.
 struct RoundInput {
   absl::Time now;
-  std::vector<LeaseLapse> lapsed;
+  std::vector<ExpiredLease> lapsed;
   // False until every row was read once. Before, only urgent work is placed,
   // and nothing is expanded.
   bool complete = true;
@@ -110,7 +110,7 @@
   std::vector<Batch> Round(const RoundInput& input) {
     const absl::Time now = input.now;
     Plan plan(this->charts, &this->state, this->options.name, &this->counter);
-    this->state.Wake(now);
+    this->state.ReleaseExpiredBackoffs(now);
     this->FenceLapsed(input, &plan);
     this->ReleaseLost(&plan);
     if (input.complete) {
@@ -131,7 +131,7 @@
 
  private:
   void FenceLapsed(const RoundInput& input, Plan* plan) {
-    for (const LeaseLapse& lapse : input.lapsed) {
+    for (const ExpiredLease& lapse : input.lapsed) {
       const WorkerEntry* worker = this->state.FindWorker(lapse.worker);
       if (worker != nullptr && worker->row.epoch == lapse.epoch)
         (void)plan->Fence(lapse.worker, lapse.sequence);
@@ -139,7 +139,8 @@
   }
 
   void ReleaseLost(Plan* plan) {
-    const std::set<std::string> workers = this->state.WorkersWithLost();
+    const std::set<std::string> workers =
+        this->state.WorkersWithLostAssignments();
     for (const std::string& id : workers) {
       const WorkerRow worker = this->state.FindWorker(id)->row;
       for (const Assignment& assignment : worker.assignments) {
@@ -189,9 +190,9 @@
       (void)plan->Park(id, ParkReason::kNoWorkerFits,
                        "no worker of the fleet is large enough");
     }
-    if (this->state.Unfit().empty())
+    if (this->state.TasksWithoutFittingWorker().empty())
       return;
-    const std::set<std::string> unfit = this->state.Unfit();
+    const std::set<std::string> unfit = this->state.TasksWithoutFittingWorker();
     for (const std::string& id : unfit) {
       if (this->state.CanEverFit(this->state.FindTask(id)->row.size))
         (void)plan->Retry(id);
--- a/task/planner_loop.h
+++ b/task/planner_loop.h
@@ -82,14 +82,14 @@
     if (!this->HoldLease())
       return;
     if (!this->Settle() || !this->Follow()) {
-      this->observer.Unreadable();
+      this->observer.RecordReadFailure();
       return;
     }
     const absl::Time now = this->steady->Now();
     this->rows.Refill(now);
     RoundInput input;
     input.now = this->wall->Now();
-    input.lapsed = this->observer.Lapsed(now);
+    input.lapsed = this->observer.ExpiredLeases(now);
     input.complete = this->follower.IsComplete();
     input.may_place = this->MayPlace(now);
     input.most_rows = static_cast<size_t>(std::max(this->rows.Tokens(), 0.0));
@@ -184,7 +184,7 @@
     const absl::Time now = this->steady->Now();
     if (read) {
       this->NoteReadable(now);
-      this->observer.Readable(now);
+      this->observer.RecordRead(now);
     }
     for (const Row& row : changed) {
       this->Check(row, this->GetState()->Apply(row));
@@ -199,7 +199,8 @@
     if (worker == nullptr || worker->row.state == WorkerState::kFenced)
       this->observer.Forget(id);
     else
-      this->observer.Saw(id, worker->row.epoch, worker->row.sequence, now);
+      this->observer.RecordObservation(id, worker->row.epoch,
+                                       worker->row.sequence, now);
   }
 
   State* GetState() { return this->planner->GetState(); }
@@ -256,14 +257,14 @@
   bool NoteOutage() {
     if (!this->outage_since)
       this->outage_since = this->steady->Now();
-    this->observer.Unreadable();
+    this->observer.RecordReadFailure();
     return false;
   }
 
   // Agents could not renew during an outage of more than a renewal interval;
   // they go first when the store returns.
   void NoteReadable(absl::Time now) {
-    const absl::Duration renewal = this->options.worker_lease.renew_every;
+    const absl::Duration renewal = this->options.worker_lease.renewal_interval;
     if (this->outage_since && now - *this->outage_since >= renewal)
       this->paused_until = now + renewal;
     this->outage_since.reset();
--- a/task/scorer.cc
+++ b/task/scorer.cc
@@ -67,7 +67,7 @@
   const int64_t weight = found == this->accounts.end()
                              ? 1
                              : std::max<int64_t>(1, found->second.weight);
-  return DominantShare(state.UseOf(account), state.Capacity()) /
+  return DominantShare(state.CommittedTo(account), state.Capacity()) /
          static_cast<double>(weight);
 }
 
--- a/task/state.cc
+++ b/task/state.cc
@@ -16,15 +16,15 @@
 }
 
 // Changes a counter of a map and drops it at zero.
-void Count(std::map<std::string, int>* counts,
-           const std::string& key,
-           int step) {
+void AddToCount(std::map<std::string, int>* counts,
+                const std::string& key,
+                int step) {
   if (((*counts)[key] += step) == 0)
     counts->erase(key);
 }
 
 template <class Set, class Value>
-void Index(Set* set, const Value& value, int sign) {
+void UpdateSet(Set* set, const Value& value, int sign) {
   if (sign > 0)
     set->insert(value);
   else
@@ -44,9 +44,9 @@
 
 }  // namespace
 
-// Spares the parsing of the rows that this planner wrote itself, which are half
-// of those that it follows.
-bool State::IsKnown(const Row& row) const {
+// Avoids parsing the rows that this planner wrote itself, which are half of the
+// rows that it reads.
+bool State::IsUpToDate(const Row& row) const {
   if (row.key.starts_with(kTaskPrefix)) {
     const TaskEntry* task = this->FindTask(row.key.substr(kTaskPrefix.size()));
     return task != nullptr && task->version >= row.version;
@@ -60,7 +60,7 @@
 }
 
 Status State::Apply(const Row& row) {
-  if (this->IsKnown(row))
+  if (this->IsUpToDate(row))
     return Ok();
   return this->Restore(row);
 }
@@ -103,15 +103,15 @@
 }
 
 void State::Apply(const Batch& batch, uint64_t version) {
-  const auto pick = [version](uint64_t known) {
+  const auto version_of = [version](uint64_t known) {
     return version == 0 ? known : version;
   };
   for (const auto& [id, entry] : batch.Tasks())
-    this->PutTask({entry.row, pick(entry.version)});
+    this->PutTask({entry.row, version_of(entry.version)});
   for (const auto& [id, entry] : batch.Workers())
-    this->PutWorker({entry.row, pick(entry.version)});
+    this->PutWorker({entry.row, version_of(entry.version)});
   for (const auto& [name, entry] : batch.Owners())
-    this->owners[name] = {entry.row, pick(entry.version)};
+    this->owners[name] = {entry.row, version_of(entry.version)};
   for (const auto& [id, known] : batch.Deleted())
     this->EraseTask(id);
 }
@@ -164,7 +164,7 @@
 void State::IndexTask(const TaskRow& row, int sign) {
   this->changed_owners.insert(row.owner);
   OwnerTasks& tasks = this->owner_tasks[row.owner];
-  Index(&tasks.all, row.id, sign);
+  UpdateSet(&tasks.all, row.id, sign);
   tasks.live += row.IsFinal() ? 0 : sign;
   tasks.finished += row.state == TaskState::kFinished ? sign : 0;
   tasks.parked += row.state == TaskState::kParked ? sign : 0;
@@ -175,49 +175,52 @@
   if (row.IsWaiting()) {
     this->IndexWaiting(row, sign);
     auto& ids = this->waiting_sizes[row.size];
-    Index(&ids, row.id, sign);
+    UpdateSet(&ids, row.id, sign);
     if (ids.empty())
       this->waiting_sizes.erase(row.size);
   }
   if (WaitsForDependency(row)) {
     for (const std::string& dependency : row.depends_on) {
       auto& ids = this->dependents[dependency];
-      Index(&ids, row.id, sign);
+      UpdateSet(&ids, row.id, sign);
       if (ids.empty())
         this->dependents.erase(dependency);
     }
   }
   if (row.state == TaskState::kParked &&
       row.park_reason == ParkReason::kNoWorkerFits)
-    Index(&this->unfit, row.id, sign);
+    UpdateSet(&this->no_worker_fits, row.id, sign);
 }
 
 void State::IndexPlacement(const TaskRow& row, OwnerTasks* tasks, int sign) {
   tasks->placed += sign;
-  Size& use = this->use[row.account];
-  use = sign > 0 ? use + row.size : use - row.size;
-  if (use == Size())
-    this->use.erase(row.account);
-  Size& of_urgency = this->use_by_urgency[static_cast<size_t>(row.urgency)];
-  of_urgency = sign > 0 ? of_urgency + row.size : of_urgency - row.size;
+  Size& committed = this->committed_by_account[row.account];
+  committed = sign > 0 ? committed + row.size : committed - row.size;
+  if (committed == Size())
+    this->committed_by_account.erase(row.account);
+  Size& committed_to_urgency =
+      this->committed_by_urgency[static_cast<size_t>(row.urgency)];
+  committed_to_urgency = sign > 0 ? committed_to_urgency + row.size
+                                  : committed_to_urgency - row.size;
   if (sign > 0) {
     const WorkerEntry* worker = this->FindWorker(row.worker);
     if (worker != nullptr)
-      this->places[row.id] = {worker->row.rack, worker->row.failure_domain};
+      this->counted_locations[row.id] = {worker->row.rack,
+                                         worker->row.failure_domain};
   }
-  const auto place = this->places.find(row.id);
-  if (place == this->places.end())
+  const auto location = this->counted_locations.find(row.id);
+  if (location == this->counted_locations.end())
     return;
-  Count(&tasks->racks, place->second.first, sign);
-  Count(&tasks->failure_domains, place->second.second, sign);
+  AddToCount(&tasks->racks, location->second.first, sign);
+  AddToCount(&tasks->failure_domains, location->second.second, sign);
   if (sign < 0)
-    this->places.erase(place);
+    this->counted_locations.erase(location);
 }
 
 void State::IndexWaiting(const TaskRow& row, int sign) {
   auto& queues = this->waiting[static_cast<size_t>(row.urgency)];
   const std::pair<int64_t, std::string> place = {row.created_us, row.id};
-  if (sign > 0 && row.not_before_us > this->awake_until_us) {
+  if (sign > 0 && row.not_before_us > this->backoffs_released_until_us) {
     this->delayed.insert({row.not_before_us, row.id});
     return;
   }
@@ -234,10 +237,11 @@
     queues.erase(queue);
 }
 
-void State::Wake(absl::Time now) {
-  this->awake_until_us = std::max(this->awake_until_us, ToMicros(now));
+void State::ReleaseExpiredBackoffs(absl::Time now) {
+  this->backoffs_released_until_us =
+      std::max(this->backoffs_released_until_us, ToMicros(now));
   while (!this->delayed.empty() &&
-         this->delayed.begin()->first <= this->awake_until_us) {
+         this->delayed.begin()->first <= this->backoffs_released_until_us) {
     const std::string id = this->delayed.begin()->second;
     this->delayed.erase(this->delayed.begin());
     this->IndexWaiting(this->tasks.at(id).row, 1);
@@ -283,18 +287,18 @@
         add ? this->capacity + row.capacity : this->capacity - row.capacity;
   }
   if (HasLostAssignment(row))
-    Index(&this->lost, row.id, sign);
+    UpdateSet(&this->with_lost_assignments, row.id, sign);
   if (row.state == WorkerState::kDraining)
-    Index(&this->draining, row.id, sign);
+    UpdateSet(&this->draining, row.id, sign);
   if (row.state == WorkerState::kSuspect)
-    Index(&this->suspect, row.id, sign);
+    UpdateSet(&this->suspect, row.id, sign);
   if (row.state != WorkerState::kReady)
     return;
   const Size free = row.Free();
-  Index(&this->by_free_cores, std::pair(free.millicores, row.id), sign);
+  UpdateSet(&this->by_free_cores, std::pair(free.millicores, row.id), sign);
   if (free.accelerators > 0) {
-    Index(&this->by_free_accelerators, std::pair(free.accelerators, row.id),
-          sign);
+    UpdateSet(&this->by_free_accelerators, std::pair(free.accelerators, row.id),
+              sign);
   }
   if (add) {
     this->ready_index[row.id] = this->ready.size();
@@ -302,11 +306,11 @@
     return;
   }
   // The last one takes the place of the one removed.
-  const size_t hole = this->ready_index.at(row.id);
+  const size_t index = this->ready_index.at(row.id);
   this->ready_index.erase(row.id);
-  if (hole + 1 != this->ready.size()) {
-    this->ready[hole] = this->ready.back();
-    this->ready_index[this->ready[hole]] = hole;
+  if (index + 1 != this->ready.size()) {
+    this->ready[index] = this->ready.back();
+    this->ready_index[this->ready[index]] = index;
   }
   this->ready.pop_back();
 }
@@ -324,13 +328,13 @@
 }
 
 const OwnerTasks& State::TasksOf(const std::string& owner) const {
-  static const OwnerTasks* const none = new OwnerTasks();
+  static const OwnerTasks* const empty = new OwnerTasks();
   const OwnerTasks* found = FindEntry(this->owner_tasks, owner);
-  return found == nullptr ? *none : *found;
+  return found == nullptr ? *empty : *found;
 }
 
-Size State::UseOf(const std::string& account) const {
-  const Size* found = FindEntry(this->use, account);
+Size State::CommittedTo(const std::string& account) const {
+  const Size* found = FindEntry(this->committed_by_account, account);
   return found == nullptr ? Size() : *found;
 }
 
--- a/task/state.h
+++ b/task/state.h
@@ -1,15 +1,16 @@
 #ifndef TASK_STATE_H_
 #define TASK_STATE_H_
 
-// A planner's picture of the rows in memory.
+// A planner's in-memory copy of the rows, with indexes.
 //
-// The picture is fed with rows as they are read and with what was committed:
+// The copy is updated with rows as they are read and with committed batches:
 //
 //   for (const Row& row : table.ScanSince("task/", cursor, 500).value())
 //     state.Apply(row);
 //
-// It may be behind the table at any time. That costs a conflict and never a
-// promise, since each transition expects the versions that it was decided on.
+// The copy may be behind the table at any time. The cost is a conflict, never
+// an incorrect commit, since each transition expects the row versions that it
+// was decided on.
 //
 // A planner also applies its own decisions before they are committed, so that
 // the next decision sees them. When the commit fails, the planner re-reads the
@@ -48,7 +49,7 @@
   std::map<std::string, int> failure_domains;
 };
 
-// How an attempt ended, as seen in a task row.
+// Outcome of an attempt that finished or failed, as seen in a task row.
 struct AttemptOutcome {
   std::string task;
   std::string owner;
@@ -73,25 +74,25 @@
   // then id.
   using Queue = std::set<std::pair<int64_t, std::string>>;
 
-  // Takes a row that was read. Rows of other prefixes are ignored, and so are
-  // rows that are not newer than the known ones. Fails with a RowError, and the
-  // picture keeps what it had.
+  // Applies a row that was read. Ignores rows of other prefixes and rows that
+  // are not newer than the copy. Fails with a RowError and then changes
+  // nothing.
   Status Apply(const Row& row);
 
-  // Takes a row that was read to undo a decision that was not committed: the
-  // row may have the known version.
+  // Applies a row that was re-read to undo a decision that was not committed.
+  // Its version may equal that of the copy.
   Status Restore(const Row& row);
 
-  // The row does not exist.
+  // Removes a row that no longer exists in the table.
   void Remove(const std::string& key);
 
-  // Takes one task row and one worker row of a batch that is not committed yet;
-  // an empty id stands for none.
+  // Applies one task row and one worker row of a batch that is not committed
+  // yet; an empty id stands for none.
   void ApplyDecision(const Batch& batch,
                      const std::string& task,
                      const std::string& worker);
 
-  // Takes the rows of a batch. The known versions stay as they are when
+  // Applies the rows of a batch. The known versions stay as they are when
   // `version` is 0, which is the case before the batch is committed.
   void Apply(const Batch& batch, uint64_t version);
 
@@ -104,17 +105,17 @@
   const OwnerTasks& TasksOf(const std::string& owner) const;
 
   // Resources committed to an account's tasks.
-  Size UseOf(const std::string& account) const;
+  Size CommittedTo(const std::string& account) const;
 
   // Resources committed to tasks of an urgency, and the capacity of the workers
   // that are not fenced.
-  const Size& UseOf(Urgency urgency) const {
-    return this->use_by_urgency[static_cast<size_t>(urgency)];
+  const Size& CommittedTo(Urgency urgency) const {
+    return this->committed_by_urgency[static_cast<size_t>(urgency)];
   }
   const Size& Capacity() const { return this->capacity; }
 
-  // Moves the failed tasks whose back-off has passed to the queues.
-  void Wake(absl::Time now);
+  // Moves failed tasks whose back-off has expired to the queues.
+  void ReleaseExpiredBackoffs(absl::Time now);
 
   // Waiting tasks by account, without those in back-off.
   const std::map<std::string, Queue>& Waiting(Urgency urgency) const {
@@ -134,8 +135,10 @@
     return this->dependents;
   }
 
-  // Parked tasks that no worker could hold.
-  const std::set<std::string>& Unfit() const { return this->unfit; }
+  // Tasks parked because no worker is large enough.
+  const std::set<std::string>& TasksWithoutFittingWorker() const {
+    return this->no_worker_fits;
+  }
 
   // Ready workers by free processors.
   const std::set<std::pair<int64_t, std::string>>& ByFreeCores() const {
@@ -151,7 +154,9 @@
   const std::vector<std::string>& ReadyWorkers() const { return this->ready; }
 
   // Workers with assignments of an older epoch.
-  const std::set<std::string>& WorkersWithLost() const { return this->lost; }
+  const std::set<std::string>& WorkersWithLostAssignments() const {
+    return this->with_lost_assignments;
+  }
   const std::set<std::string>& DrainingWorkers() const {
     return this->draining;
   }
@@ -180,7 +185,7 @@
   std::vector<AttemptOutcome> TakeOutcomes();
 
  private:
-  bool IsKnown(const Row& row) const;
+  bool IsUpToDate(const Row& row) const;
   void PutTask(TaskEntry entry);
   void PutWorker(WorkerEntry entry);
   void IndexTask(const TaskRow& row, int sign);
@@ -194,26 +199,28 @@
   std::unordered_map<std::string, WorkerEntry> workers;
   std::map<std::string, OwnerEntry> owners;
   std::map<std::string, OwnerTasks> owner_tasks;
-  std::map<std::string, Size> use;
-  Size use_by_urgency[kUrgencyCount];
+  std::map<std::string, Size> committed_by_account;
+  Size committed_by_urgency[kUrgencyCount];
   Size capacity;
   std::map<std::string, Queue> waiting[kUrgencyCount];
   std::map<Size, std::set<std::string>, SizeLess> waiting_sizes;
-  // Tasks in back-off by its end, and the time up to which Wake() has run.
+  // Tasks in back-off by its end, and the time up to which
+  // ReleaseExpiredBackoffs() has run.
   Queue delayed;
-  int64_t awake_until_us = 0;
+  int64_t backoffs_released_until_us = 0;
   std::map<std::string, std::set<std::string>> dependents;
-  std::set<std::string> unfit;
+  std::set<std::string> no_worker_fits;
   std::set<std::pair<int64_t, std::string>> by_free_cores;
   std::set<std::pair<int64_t, std::string>> by_free_accelerators;
   std::vector<std::string> ready;
   std::unordered_map<std::string, size_t> ready_index;
-  std::set<std::string> lost;
+  std::set<std::string> with_lost_assignments;
   std::set<std::string> draining;
   std::set<std::string> suspect;
   // Rack and failure domain that a placed task was counted under; its worker's
   // row may change while it runs.
-  std::unordered_map<std::string, std::pair<std::string, std::string>> places;
+  std::unordered_map<std::string, std::pair<std::string, std::string>>
+      counted_locations;
   // Number of workers by capacity.
   std::map<Size, int, SizeLess> capacities;
   uint64_t capacity_changes = 0;
--- a/task/testing/guard_test.cc
+++ b/task/testing/guard_test.cc
@@ -18,18 +18,18 @@
  protected:
   std::vector<GuardAction> Report(double tail_ms,
                                   double baseline_ms = 20,
-                                  double usual_ms = 20) {
+                                  double smoothed_baseline_ms = 20) {
     this->now += absl::Seconds(10);
     GuardView view;
     view.worker = "w";
-    view.at = this->now - absl::Seconds(30);
-    view.services = {{"s", tail_ms, 40, baseline_ms, usual_ms}};
+    view.measured_at = this->now - absl::Seconds(30);
+    view.services = {{"s", tail_ms, 40, baseline_ms, smoothed_baseline_ms}};
     const double adds = 1.0 * this->share / 100;
-    view.neighbours = {{"good", "good", true, 100, 10, {0.01}},
-                       {"old", "bad", true, this->share, 900, {adds}},
-                       {"new", "bad", true, 100, this->new_loss, {0.6}},
-                       {"replica", "other", false, 100, 0, {5}}};
-    std::vector<GuardAction> out = this->guard.Judge(view, this->now);
+    view.colocated_tasks = {{"good", "good", true, 100, 10, {0.01}},
+                            {"old", "bad", true, this->share, 900, {adds}},
+                            {"new", "bad", true, 100, this->new_loss, {0.6}},
+                            {"replica", "other", false, 100, 0, {5}}};
+    std::vector<GuardAction> out = this->guard.Evaluate(view, this->now);
     for (const GuardAction& action : out) {
       ++this->actions;
       if (action.kind == Kind::kThrottle && action.task == "old")
@@ -50,7 +50,7 @@
 
   void FillBudget() {
     for (int i = 0; i < 100; ++i)
-      this->guard.Ended();
+      this->guard.RecordAttemptEnd();
   }
 
   Guard guard{GuardOptions()};
@@ -69,14 +69,14 @@
   EXPECT_EQ(first.task, "old");
   EXPECT_EQ(first.share_percent, 50);
   EXPECT_EQ(this->NextAction(80).share_percent, 25);
-  EXPECT_FALSE(this->guard.IsRemembered("s", "bad", this->now));
+  EXPECT_FALSE(this->guard.IsPairAvoided("s", "bad", this->now));
   const GuardAction last = this->NextAction(80);
   EXPECT_EQ(last.kind, Kind::kEvict);
   EXPECT_EQ(last.task, "new");
-  EXPECT_TRUE(this->guard.IsRemembered("s", "bad", this->now));
-  EXPECT_FALSE(this->guard.IsRemembered("s", "good", this->now));
+  EXPECT_TRUE(this->guard.IsPairAvoided("s", "bad", this->now));
+  EXPECT_FALSE(this->guard.IsPairAvoided("s", "good", this->now));
   EXPECT_FALSE(
-      this->guard.IsRemembered("s", "bad", this->now + absl::Hours(1)));
+      this->guard.IsPairAvoided("s", "bad", this->now + absl::Hours(1)));
 }
 
 // Guards against a burst on all workers that causes throttles and evictions.
@@ -95,7 +95,7 @@
 // Guards against more evictions than the budget of 2 in 100 tasks.
 TEST_F(GuardTest, EvictsWithinTheBudget) {
   for (int i = 0; i < 66; ++i)
-    this->guard.Ended();
+    this->guard.RecordAttemptEnd();
   for (int i = 0; i < 200; ++i) {
     for (const GuardAction& action : this->Report(80))
       EXPECT_EQ(action.kind, Kind::kThrottle);
@@ -126,8 +126,9 @@
 // Guards against a throttle that stays when the worker reports no more.
 TEST_F(GuardTest, LiftsThrottlesOfSilentWorkers) {
   this->NextAction(80);
-  EXPECT_TRUE(this->guard.LiftUnreported(this->now).empty());
-  const auto lifted = this->guard.LiftUnreported(this->now + absl::Minutes(4));
+  EXPECT_TRUE(this->guard.LiftThrottlesWithoutReports(this->now).empty());
+  const auto lifted =
+      this->guard.LiftThrottlesWithoutReports(this->now + absl::Minutes(4));
   ASSERT_EQ(lifted.size(), 1u);
   EXPECT_EQ(lifted[0].share_percent, 100);
 }
--- a/task/testing/lease_test.cc
+++ b/task/testing/lease_test.cc
@@ -16,9 +16,9 @@
 TEST(LeaseHolderTest, DeadlineCountsFromBeforeTheSend) {
   LeaseHolder holder(kPolicy);
   EXPECT_TRUE(holder.IsRenewalDue(kStart));
-  holder.Sending(1, kStart);
+  holder.RecordSend(1, kStart);
   EXPECT_FALSE(holder.StopDeadline());
-  EXPECT_EQ(holder.Committed(1), kStart + kPolicy.length);
+  EXPECT_EQ(holder.ConfirmRenewal(1), kStart + kPolicy.length);
   EXPECT_FALSE(holder.IsRenewalDue(kStart + absl::Seconds(19)));
   EXPECT_TRUE(holder.IsRenewalDue(kStart + absl::Seconds(20)));
 }
@@ -27,16 +27,16 @@
 // sequence number is the same, so that the earlier time counts.
 TEST(LeaseHolderTest, EarliestSendOfASequenceNumberCounts) {
   LeaseHolder holder(kPolicy);
-  holder.Sending(5, kStart);
-  holder.Sending(5, kStart + absl::Seconds(100));
-  EXPECT_EQ(holder.Committed(5), kStart + kPolicy.length);
+  holder.RecordSend(5, kStart);
+  holder.RecordSend(5, kStart + absl::Seconds(100));
+  EXPECT_EQ(holder.ConfirmRenewal(5), kStart + kPolicy.length);
 }
 
 // Guards against extending the lease for a commit of another process.
 TEST(LeaseHolderTest, UnknownSequenceNumberMovesNothing) {
   LeaseHolder holder(kPolicy);
-  holder.Sending(5, kStart);
-  EXPECT_FALSE(holder.Committed(6));
+  holder.RecordSend(5, kStart);
+  EXPECT_FALSE(holder.ConfirmRenewal(6));
 }
 
 // Reads the store once a second.
@@ -45,20 +45,21 @@
              absl::Time from,
              absl::Time until) {
   for (absl::Time now = from; now <= until; now += absl::Seconds(1)) {
-    observer->Readable(now);
-    observer->Saw("w", 1, sequence, now);
+    observer->RecordRead(now);
+    observer->RecordObservation("w", 1, sequence, now);
   }
 }
 
 // Guards against fencing before the holder's deadline, and against never
 // fencing.
-TEST(LeaseObserverTest, LapsesAfterAWholePeriod) {
+TEST(LeaseObserverTest, ExpiresAfterAWholePeriod) {
   LeaseObserver observer(kPolicy);
-  const absl::Time end = kStart + kPolicy.ObservedPeriod();
+  const absl::Time end = kStart + kPolicy.ObservationPeriod();
   Observe(&observer, 7, kStart, end - absl::Seconds(1));
-  EXPECT_TRUE(observer.Lapsed(end - absl::Seconds(1)).empty());
+  EXPECT_TRUE(observer.ExpiredLeases(end - absl::Seconds(1)).empty());
   Observe(&observer, 7, end, end);
-  EXPECT_EQ(observer.Lapsed(end), (std::vector<LeaseLapse>{{"w", 1, 7}}));
+  EXPECT_EQ(observer.ExpiredLeases(end),
+            (std::vector<ExpiredLease>{{"w", 1, 7}}));
 }
 
 // Guards against a mass eviction when the store returns: holders could not
@@ -66,26 +67,26 @@
 TEST(LeaseObserverTest, OutageRestartsTheObservation) {
   LeaseObserver observer(kPolicy);
   Observe(&observer, 7, kStart, kStart + absl::Seconds(500));
-  observer.Unreadable();
+  observer.RecordReadFailure();
   const absl::Time back = kStart + absl::Seconds(505);
-  const absl::Time end = back + kPolicy.ObservedPeriod();
+  const absl::Time end = back + kPolicy.ObservationPeriod();
   Observe(&observer, 7, back, end - absl::Seconds(1));
-  EXPECT_TRUE(observer.Lapsed(end - absl::Seconds(1)).empty());
+  EXPECT_TRUE(observer.ExpiredLeases(end - absl::Seconds(1)).empty());
   Observe(&observer, 7, end, end);
-  EXPECT_EQ(observer.Lapsed(end).size(), 1u);
+  EXPECT_EQ(observer.ExpiredLeases(end).size(), 1u);
 }
 
-// Guards against an observer that was itself paused and takes the silence for
-// that of the holder.
+// Guards against an observer that was itself paused and attributes the gap in
+// its own reads to the holder.
 TEST(LeaseObserverTest, GapInTheReadsRestartsTheObservation) {
   LeaseObserver observer(kPolicy);
   Observe(&observer, 7, kStart, kStart + absl::Seconds(10));
   const absl::Time back = kStart + absl::Seconds(1000);
-  EXPECT_TRUE(observer.Lapsed(back).empty());
-  observer.Readable(back);
-  EXPECT_TRUE(observer.Lapsed(back).empty());
+  EXPECT_TRUE(observer.ExpiredLeases(back).empty());
+  observer.RecordRead(back);
+  EXPECT_TRUE(observer.ExpiredLeases(back).empty());
   EXPECT_FALSE(observer.WasRenewedSinceRestart("w"));
-  observer.Saw("w", 1, 8, back);
+  observer.RecordObservation("w", 1, 8, back);
   EXPECT_TRUE(observer.WasRenewedSinceRestart("w"));
 }
 
@@ -100,15 +101,15 @@
   const absl::Duration delay = absl::Milliseconds(*rc::gen::inRange(0, 9000));
   LeaseHolder holder(kPolicy);
   LeaseObserver observer(kPolicy);
-  holder.Sending(1, kStart);
-  const absl::Time deadline = *holder.Committed(1);
+  holder.RecordSend(1, kStart);
+  const absl::Time deadline = *holder.ConfirmRenewal(1);
   // True time at which the holder's clock shows the deadline.
   const absl::Duration stop = (deadline - kStart) / holder_rate;
   const absl::Time first_seen = kStart + delay * observer_rate;
   const absl::Time at_stop = kStart + stop * observer_rate;
   Observe(&observer, 1, first_seen, at_stop);
-  observer.Readable(at_stop);
-  RC_ASSERT(observer.Lapsed(at_stop).empty());
+  observer.RecordRead(at_stop);
+  RC_ASSERT(observer.ExpiredLeases(at_stop).empty());
 }
 
 }  // namespace
--- a/task/testing/transitions_test.cc
+++ b/task/testing/transitions_test.cc
@@ -73,7 +73,8 @@
   EXPECT_EQ(batch.size(), 2u);
 }
 
-// P1: guards against two planners that each see room for their own task.
+// P1: guards against two planners that each see free capacity for their own
+// task.
 TEST_F(TransitionsTest, OfTwoPlannersOnOneWorkerOneGetsAConflict) {
   this->AddWorker("w1");
   this->AddTask("a", TaskKind::kBatch, 3000);
@@ -132,7 +133,7 @@
   EXPECT_EQ(ReportStopped(this->Task("a"), this->Worker("w1"), ref,
                           "checkpoint-1", &again)
                 .error(),
-            TransitionError::kOldAttempt);
+            TransitionError::kStaleAttempt);
 }
 
 // Guards against a cancelled task that finishes, fails or resumes: cancellation
@@ -237,9 +238,9 @@
   this->AddTask("job", TaskKind::kBatch, 1000);
   this->AddTask("watcher", TaskKind::kWatcher, 1000);
   absl::Time now = kNow;
-  for (uint32_t i = 0; i < kPolicy.most_attempts; ++i) {
+  for (uint32_t i = 0; i < kPolicy.max_attempts; ++i) {
     for (const std::string id : {"job", "watcher"}) {
-      now += kPolicy.longest_backoff;
+      now += kPolicy.max_backoff;
       Batch batch = this->NewBatch();
       ASSERT_TRUE(Place(this->Task(id), this->Worker("w1"), now,
                         PlaceMode::kNormal, &batch));
@@ -258,7 +259,7 @@
   EXPECT_EQ(Place(this->Task("watcher"), this->Worker("w1"), now,
                   PlaceMode::kNormal, &early)
                 .error(),
-            TransitionError::kTooEarly);
+            TransitionError::kInBackoff);
 }
 
 // Guards against charts that name states the rows lack.
--- a/task/testing/world.h
+++ b/task/testing/world.h
@@ -49,10 +49,10 @@
   absl::Duration step = absl::Seconds(1);
   // Shorter than in production, so that a schedule covers several leases.
   LeasePolicy lease = {.length = absl::Seconds(60),
-                       .renew_every = absl::Seconds(5),
-                       .rate_margin = 0.01,
-                       .slack = absl::Seconds(2),
-                       .longest_gap = absl::Seconds(10)};
+                       .renewal_interval = absl::Seconds(5),
+                       .clock_drift_margin = 0.01,
+                       .stop_margin = absl::Seconds(2),
+                       .max_read_gap = absl::Seconds(10)};
 };
 
 class World {
@@ -222,9 +222,9 @@
     agent.declared.rack = StrCat("rack-", worker->name);
     agent.process = StrCat(worker->starts);
     agent.lease = this->options.lease;
-    agent.retry = {.most_attempts = 5,
-                   .first_backoff = absl::Seconds(2),
-                   .longest_backoff = absl::Seconds(10)};
+    agent.retry = {.max_attempts = 5,
+                   .initial_backoff = absl::Seconds(2),
+                   .max_backoff = absl::Seconds(10)};
     agent.poll_every = absl::Seconds(4);
     worker->agent = std::make_unique<Agent>(
         agent, &this->charts, worker->table.get(), worker->runtime.get(),
--- a/task/transitions.cc
+++ b/task/transitions.cc
@@ -11,20 +11,20 @@
 namespace {
 
 // Workers that a task failed on and that its row names; the oldest are dropped.
-constexpr size_t kFailedOnKept = 8;
+constexpr size_t kMaxFailedOnWorkers = 8;
 
-constexpr int32_t kWholeShare = 100;
+constexpr int32_t kFullSharePercent = 100;
 
 // Keeps the shift within 32 bits; the longest back-off is reached before.
-constexpr uint32_t kMostDoublings = 16;
+constexpr uint32_t kMaxDoublings = 16;
 
-Status StepTask(const Batch& batch, TaskRow* row, const char* event) {
+Status ApplyTaskEvent(const Batch& batch, TaskRow* row, const char* event) {
   BOOST_OUTCOME_TRY(next, batch.Charts().Next(row->state, event));
   row->state = next;
   return Ok();
 }
 
-Status StepWorker(const Batch& batch, WorkerRow* row, const char* event) {
+Status ApplyWorkerEvent(const Batch& batch, WorkerRow* row, const char* event) {
   BOOST_OUTCOME_TRY(next, batch.Charts().Next(row->state, event));
   row->state = next;
   return Ok();
@@ -44,7 +44,7 @@
 }
 
 // True when the two rows agree that the worker holds the task's attempt.
-bool Agree(const TaskRow& task, const WorkerRow& worker) {
+bool RowsAgree(const TaskRow& task, const WorkerRow& worker) {
   const Assignment* assignment = worker.Find(task.id);
   return assignment != nullptr && task.worker == worker.id &&
          assignment->attempt == task.attempt;
@@ -55,15 +55,15 @@
                    const AttemptRef& ref) {
   if (worker.epoch != ref.epoch || worker.state == WorkerState::kFenced)
     return TransitionError::kFenced;
-  if (!Agree(task, worker) || task.attempt != ref.attempt)
-    return TransitionError::kOldAttempt;
+  if (!RowsAgree(task, worker) || task.attempt != ref.attempt)
+    return TransitionError::kStaleAttempt;
   if (worker.Find(task.id)->epoch != ref.epoch)
     return TransitionError::kFenced;
   return Ok();
 }
 
 // Frees the capacity of the task's attempt.
-void Release(TaskRow* task, WorkerRow* worker) {
+void ReleaseCapacity(TaskRow* task, WorkerRow* worker) {
   RemoveAssignment(worker, task->id);
   task->worker.clear();
 }
@@ -73,7 +73,7 @@
                   TaskRow row,
                   Batch* batch) {
   WorkerRow worker_row = batch->Current(worker).row;
-  Release(&row, &worker_row);
+  ReleaseCapacity(&row, &worker_row);
   batch->Set(task, std::move(row));
   batch->Set(worker, std::move(worker_row));
   return Ok();
@@ -84,12 +84,12 @@
                    const RetryPolicy& policy,
                    TaskRow* row) {
   const bool was_healthy =
-      now - FromMicros(row->placed_us) >= policy.healthy_after;
+      now - FromMicros(row->placed_us) >= policy.healthy_runtime;
   if (row->kind != TaskKind::kBatch && was_healthy)
     row->failures = 0;
   ++row->failures;
   row->failed_on.push_back(worker);
-  if (row->failed_on.size() > kFailedOnKept)
+  if (row->failed_on.size() > kMaxFailedOnWorkers)
     row->failed_on.erase(row->failed_on.begin());
   row->not_before_us = ToMicros(now + policy.Backoff(row->failures));
 }
@@ -104,9 +104,9 @@
       return "worker lacks the capacity";
     case TransitionError::kAlreadyPlaced:
       return "task already holds capacity";
-    case TransitionError::kTooEarly:
+    case TransitionError::kInBackoff:
       return "back-off of the task has not passed";
-    case TransitionError::kOldAttempt:
+    case TransitionError::kStaleAttempt:
       return "attempt is not the current one of the task";
     case TransitionError::kFenced:
       return "lease epoch of the worker is another one";
@@ -114,7 +114,7 @@
       return "lease was renewed since it was observed";
     case TransitionError::kStillRunning:
       return "attempt may still be running";
-    case TransitionError::kBadShare:
+    case TransitionError::kShareOutOfRange:
       return "share is not within 1 to 100 percent";
     case TransitionError::kRowState:
       return "row is not in the state that the step needs";
@@ -124,15 +124,15 @@
 
 absl::Duration RetryPolicy::Backoff(uint32_t failures) const {
   const uint32_t doublings =
-      std::min(failures == 0 ? 0 : failures - 1, kMostDoublings);
-  return std::min(this->longest_backoff,
-                  this->first_backoff * static_cast<double>(1U << doublings));
+      std::min(failures == 0 ? 0 : failures - 1, kMaxDoublings);
+  return std::min(this->max_backoff,
+                  this->initial_backoff * static_cast<double>(1U << doublings));
 }
 
 Status CreateTask(TaskRow task, Batch* batch) {
   task.state = TaskState::kBlocked;
   if (task.depends_on.empty()) {
-    BOOST_OUTCOME_TRY(StepTask(*batch, &task, "unblock"));
+    BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &task, "unblock"));
   }
   const TaskEntry absent = {task, 0};
   batch->Set(absent, std::move(task));
@@ -152,7 +152,7 @@
   row.depends_on = declared.depends_on;
   row.config_version = declared.config_version;
   if (row.state == TaskState::kBlocked && row.depends_on.empty()) {
-    BOOST_OUTCOME_TRY(StepTask(*batch, &row, "unblock"));
+    BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "unblock"));
   }
   batch->Set(task, std::move(row));
   return Ok();
@@ -176,7 +176,7 @@
   if (row.HoldsCapacity())
     return TransitionError::kAlreadyPlaced;
   if (FromMicros(row.not_before_us) > now)
-    return TransitionError::kTooEarly;
+    return TransitionError::kInBackoff;
   const WorkerState needed =
       mode == PlaceMode::kProbe ? WorkerState::kSuspect : WorkerState::kReady;
   if (target.state != needed)
@@ -185,7 +185,7 @@
     return TransitionError::kWorkerNotReady;
   if (!Fits(row.size, target.Free()))
     return TransitionError::kNoCapacity;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "place"));
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "place"));
   ++row.attempt;
   row.worker = target.id;
   row.placed_us = ToMicros(now);
@@ -203,9 +203,9 @@
              Batch* batch) {
   TaskRow row = batch->Current(task).row;
   WorkerRow target = batch->Current(worker).row;
-  if (!Agree(row, target))
-    return TransitionError::kOldAttempt;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "evict"));
+  if (!RowsAgree(row, target))
+    return TransitionError::kStaleAttempt;
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "evict"));
   ++row.evictions;
   row.reason = std::string(reason);
   FindAssignment(&target, row.id)->action = AssignmentAction::kEvict;
@@ -220,10 +220,10 @@
                 Batch* batch) {
   const TaskRow& row = batch->Current(task).row;
   WorkerRow target = batch->Current(worker).row;
-  if (share_percent < 1 || share_percent > kWholeShare)
-    return TransitionError::kBadShare;
-  if (!Agree(row, target))
-    return TransitionError::kOldAttempt;
+  if (share_percent < 1 || share_percent > kFullSharePercent)
+    return TransitionError::kShareOutOfRange;
+  if (!RowsAgree(row, target))
+    return TransitionError::kStaleAttempt;
   FindAssignment(&target, row.id)->share_percent = share_percent;
   batch->Set(worker, std::move(target));
   return Ok();
@@ -236,12 +236,12 @@
   TaskRow row = batch->Current(task).row;
   if (row.HoldsCapacity() != (worker != nullptr))
     return TransitionError::kRowState;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "cancel"));
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "cancel"));
   row.reason = std::string(reason);
   if (worker != nullptr) {
     WorkerRow target = batch->Current(*worker).row;
-    if (!Agree(row, target))
-      return TransitionError::kOldAttempt;
+    if (!RowsAgree(row, target))
+      return TransitionError::kStaleAttempt;
     FindAssignment(&target, row.id)->action = AssignmentAction::kStop;
     batch->Set(*worker, std::move(target));
   }
@@ -256,7 +256,7 @@
   TaskRow row = batch->Current(task).row;
   if (row.HoldsCapacity())
     return TransitionError::kAlreadyPlaced;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "park"));
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "park"));
   row.park_reason = park_reason;
   row.reason = std::string(reason);
   batch->Set(task, std::move(row));
@@ -265,7 +265,7 @@
 
 Status Retry(const TaskEntry& task, Batch* batch) {
   TaskRow row = batch->Current(task).row;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "retry"));
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "retry"));
   row.park_reason = ParkReason::kNone;
   row.failures = 0;
   row.failed_on.clear();
@@ -277,7 +277,7 @@
 
 Status Unblock(const TaskEntry& task, Batch* batch) {
   TaskRow row = batch->Current(task).row;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "unblock"));
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "unblock"));
   batch->Set(task, std::move(row));
   return Ok();
 }
@@ -297,7 +297,7 @@
     return ReportFailed(task, worker, ref, "ended although it is to be kept up",
                         now, policy, batch);
   }
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, "finish"));
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, "finish"));
   row.output_object = std::string(output_object);
   row.reason.clear();
   return EndAttempt(task, worker, std::move(row), batch);
@@ -317,8 +317,8 @@
   RecordFailure(row.worker, now, policy, &row);
   row.reason = std::string(reason);
   const bool gives_up =
-      row.kind == TaskKind::kBatch && row.failures >= policy.most_attempts;
-  BOOST_OUTCOME_TRY(StepTask(*batch, &row, gives_up ? "park" : "fail"));
+      row.kind == TaskKind::kBatch && row.failures >= policy.max_attempts;
+  BOOST_OUTCOME_TRY(ApplyTaskEvent(*batch, &row, gives_up ? "park" : "fail"));
   if (gives_up) {
     row.park_reason = ParkReason::kFailures;
     row.reason = StrCat("failed ", row.failures, " times, last: ", reason);
@@ -337,7 +337,7 @@
     return EndAttempt(task, worker, std::move(row), batch);
   const bool was_evicted = row.state == TaskState::kCheckpointing;
   BOOST_OUTCOME_TRY(
-      StepTask(*batch, &row, was_evicted ? "checkpoint" : "lose"));
+      ApplyTaskEvent(*batch, &row, was_evicted ? "checkpoint" : "lose"));
   if (!resume_object.empty())
     row.resume_object = std::string(resume_object);
   if (!was_evicted)
@@ -350,7 +350,7 @@
                       const std::string& task_id,
                       Batch* batch) {
   WorkerRow target = batch->Current(worker).row;
-  if (task != nullptr && Agree(batch->Current(*task).row, target))
+  if (task != nullptr && RowsAgree(batch->Current(*task).row, target))
     return TransitionError::kStillRunning;
   RemoveAssignment(&target, task_id);
   batch->Set(worker, std::move(target));
@@ -362,13 +362,13 @@
                    Batch* batch) {
   TaskRow row = batch->Current(task).row;
   const WorkerRow& source = batch->Current(worker).row;
-  if (!Agree(row, source))
-    return TransitionError::kOldAttempt;
+  if (!RowsAgree(row, source))
+    return TransitionError::kStaleAttempt;
   if (source.Find(row.id)->epoch >= source.epoch)
     return TransitionError::kStillRunning;
   if (row.state != TaskState::kCancelled) {
     BOOST_OUTCOME_TRY(
-        StepTask(*batch, &row, row.IsExclusive() ? "lose" : "replace"));
+        ApplyTaskEvent(*batch, &row, row.IsExclusive() ? "lose" : "replace"));
     row.reason = StrCat("worker ", source.id, " was lost");
   }
   return EndAttempt(task, worker, std::move(row), batch);
@@ -382,7 +382,7 @@
   if (worker.version != 0) {
     const bool stays_draining =
         row.state == WorkerState::kFenced && row.drain_requested;
-    BOOST_OUTCOME_TRY(StepWorker(
+    BOOST_OUTCOME_TRY(ApplyWorkerEvent(
         *batch, &row, stays_draining ? "register_draining" : "register"));
   }
   row.id = declared.id;
@@ -416,7 +416,7 @@
   WorkerRow row = batch->Current(worker).row;
   if (row.sequence != sequence)
     return TransitionError::kLeaseRenewed;
-  BOOST_OUTCOME_TRY(StepWorker(*batch, &row, "fence"));
+  BOOST_OUTCOME_TRY(ApplyWorkerEvent(*batch, &row, "fence"));
   ++row.epoch;
   batch->Set(worker, std::move(row));
   return Ok();
@@ -428,7 +428,7 @@
     return TransitionError::kRowState;
   // A fenced worker is drained when it registers again.
   if (row.state != WorkerState::kFenced) {
-    BOOST_OUTCOME_TRY(StepWorker(*batch, &row, "drain"));
+    BOOST_OUTCOME_TRY(ApplyWorkerEvent(*batch, &row, "drain"));
   }
   row.drain_requested = true;
   batch->Set(worker, std::move(row));
@@ -437,14 +437,14 @@
 
 Status Suspect(const WorkerEntry& worker, Batch* batch) {
   WorkerRow row = batch->Current(worker).row;
-  BOOST_OUTCOME_TRY(StepWorker(*batch, &row, "suspect"));
+  BOOST_OUTCOME_TRY(ApplyWorkerEvent(*batch, &row, "suspect"));
   batch->Set(worker, std::move(row));
   return Ok();
 }
 
 Status Readmit(const WorkerEntry& worker, Batch* batch) {
   WorkerRow row = batch->Current(worker).row;
-  BOOST_OUTCOME_TRY(StepWorker(*batch, &row, "readmit"));
+  BOOST_OUTCOME_TRY(ApplyWorkerEvent(*batch, &row, "readmit"));
   row.drain_requested = false;
   batch->Set(worker, std::move(row));
   return Ok();
--- a/task/transitions.h
+++ b/task/transitions.h
@@ -1,7 +1,7 @@
 #ifndef TASK_TRANSITIONS_H_
 #define TASK_TRANSITIONS_H_
 
-// Every step that the rows of tasks and workers can take.
+// All state transitions of task and worker rows.
 //
 // A transition checks one decision against the charts and the worker's capacity
 // and adds the rows it writes to a batch, with the versions they must still
@@ -29,10 +29,10 @@
   kNoCapacity,
   // The task already holds capacity.
   kAlreadyPlaced,
-  // The back-off of a failed task has not passed.
-  kTooEarly,
+  // The back-off of a failed task has not expired.
+  kInBackoff,
   // The worker row does not list this attempt, or the task row names another.
-  kOldAttempt,
+  kStaleAttempt,
   // The worker's lease epoch is another than the caller's.
   kFenced,
   // The lease was renewed since it was observed.
@@ -40,7 +40,7 @@
   // The attempt belongs to the worker's present epoch, so it may be running.
   kStillRunning,
   // A share is not within 1 to 100 percent.
-  kBadShare,
+  kShareOutOfRange,
   // The row exists, or does not, contrary to what the transition needs.
   kRowState,
 };
@@ -54,11 +54,12 @@
 // How often a failing batch task is tried, and the waits between the attempts.
 // Watchers and replicas are kept up, so they are retried without end.
 struct RetryPolicy {
-  uint32_t most_attempts = 5;
-  absl::Duration first_backoff = absl::Seconds(5);
-  absl::Duration longest_backoff = absl::Minutes(10);
-  // An attempt that lasted as long ends a row of failures.
-  absl::Duration healthy_after = absl::Minutes(10);
+  uint32_t max_attempts = 5;
+  absl::Duration initial_backoff = absl::Seconds(5);
+  absl::Duration max_backoff = absl::Minutes(10);
+  // A watcher's or replica's attempt that ran this long resets its failure
+  // count.
+  absl::Duration healthy_runtime = absl::Minutes(10);
 
   // The wait after the given number of failures in a row, at least 1.
   absl::Duration Backoff(uint32_t failures) const;
@@ -67,7 +68,7 @@
 // Creates a task row: pending, or blocked when it has dependencies.
 Status CreateTask(TaskRow task, Batch* batch);
 
-// Gives a task that holds no capacity a new declaration: size, urgency,
+// Replaces the declaration of a task that holds no capacity: size, urgency,
 // command, dependencies and configuration version are taken from `declared`.
 Status Redeclare(const TaskEntry& task, const TaskRow& declared, Batch* batch);
 
@@ -85,7 +86,7 @@
              PlaceMode mode,
              Batch* batch);
 
-// Asks the worker to checkpoint the task and give it up.
+// Asks the worker to checkpoint and stop the task.
 Status Evict(const TaskEntry& task,
              const WorkerEntry& worker,
              std::string_view reason,
@@ -106,21 +107,22 @@
               std::string_view reason,
               Batch* batch);
 
-// Sets a waiting task aside.
+// Parks a task that holds no capacity, so that it is not placed until a
+// retry.
 Status Park(const TaskEntry& task,
             ParkReason park_reason,
             std::string_view reason,
             Batch* batch);
 
-// Makes a parked task wait again, with its failures forgotten.
+// Makes a parked task wait again and clears its failures.
 Status Retry(const TaskEntry& task, Batch* batch);
 
-// The dependencies of a blocked task are met.
+// Makes a blocked task pending once its dependencies are met.
 Status Unblock(const TaskEntry& task, Batch* batch);
 
 // Reports of a worker's agent about the attempt that `worker` lists for the
 // task, under the agent's epoch. Each ends the attempt and frees its capacity;
-// a cancelled task stays cancelled. Fail with kFenced and kOldAttempt.
+// a cancelled task stays cancelled. Fail with kFenced and kStaleAttempt.
 struct AttemptRef {
   uint32_t attempt = 0;
   uint64_t epoch = 0;
@@ -136,7 +138,7 @@
                       const RetryPolicy& policy,
                       Batch* batch);
 
-// The attempt failed. Batch tasks are parked after the most attempts.
+// The attempt failed. Batch tasks are parked after `max_attempts`.
 Status ReportFailed(const TaskEntry& task,
                     const WorkerEntry& worker,
                     const AttemptRef& ref,
--- a/task/worker_agent.h
+++ b/task/worker_agent.h
@@ -164,7 +164,8 @@
   // The row with this sequence number was read or committed under this agent's
   // epoch.
   void ExtendIfCommitted(uint64_t sequence) {
-    const std::optional<absl::Time> deadline = this->holder.Committed(sequence);
+    const std::optional<absl::Time> deadline =
+        this->holder.ConfirmRenewal(sequence);
     if (deadline)
       this->unsent_deadline = deadline;
     this->SendDeadline();
@@ -201,7 +202,7 @@
     if (!this->Commit(batch))
       return false;
     this->Adopt(this->worker.row.epoch);
-    this->holder.Sending(this->worker.row.sequence, this->read_at);
+    this->holder.RecordSend(this->worker.row.sequence, this->read_at);
     this->ExtendIfCommitted(this->worker.row.sequence);
     return true;
   }
@@ -236,7 +237,7 @@
     if (!Renew(this->worker, this->epoch, this->LeaseDeadline(), &batch))
       return false;
     const uint64_t sequence = this->worker.row.sequence + 1;
-    this->holder.Sending(sequence, this->read_at);
+    this->holder.RecordSend(sequence, this->read_at);
     if (!this->Commit(batch))
       return false;
     this->ExtendIfCommitted(sequence);
--- a/testing/support/replay_task.cc
+++ b/testing/support/replay_task.cc
@@ -189,16 +189,17 @@
     const Result<std::vector<Row>> rows =
         this->table.ScanSince(std::string(kWorkerPrefix), 0, 1000);
     if (!rows) {
-      this->observer.Unreadable();
+      this->observer.RecordReadFailure();
       return json{{"result", rows.error().message()}};
     }
-    this->observer.Readable(now);
+    this->observer.RecordRead(now);
     for (const Row& row : rows.value()) {
       BOOST_OUTCOME_TRY(worker, ParseWorker(row));
-      this->observer.Saw(worker.id, worker.epoch, worker.sequence, now);
+      this->observer.RecordObservation(worker.id, worker.epoch, worker.sequence,
+                                       now);
     }
     json lapsed = json::array();
-    for (const LeaseLapse& lapse : this->observer.Lapsed(now))
+    for (const ExpiredLease& lapse : this->observer.ExpiredLeases(now))
       lapsed.push_back(lapse.worker);
     return json{{"result", "ok"}, {"lapsed", lapsed}};
   }
