--- a/daemon/entry_process.cc
+++ b/daemon/entry_process.cc
@@ -219,7 +219,7 @@
              const std::shared_ptr<const Document>& document) {
         this->OnDocument(version, document);
       },
-      [this] { this->store_reader->StartOver(); }, this->log);
+      [this] { this->store_reader->Resync(); }, this->log);
   this->config->SetSelf({this->settings.listen.host, peer_port});
   GossipOptions options;
   options.self.name = this->settings.name;
--- a/daemon/fleet_agent.cc
+++ b/daemon/fleet_agent.cc
@@ -76,7 +76,7 @@
           .on_changed = [this] { this->Report(); },
           .on_ended =
               [this](int64_t born_ms, std::vector<EndedRun>&& ends) {
-                this->port->Send(EndNotices{born_ms, std::move(ends)});
+                this->port->Send(EndedRunsNotice{born_ms, std::move(ends)});
               },
           .on_refused =
               [this](const TaskRef& task, uint32_t run, StartOutcome outcome) {
@@ -88,24 +88,24 @@
           .on_look =
               [this](const std::vector<ServingTail>& serving,
                      const FillingLoad& filling) {
-                NeighbourNotice notice;
+                InterferenceSample notice;
                 for (const ServingTail& tail : serving)
-                  notice.serving.emplace_back(tail.image, tail.share);
-                notice.filling = filling;
+                  notice.latency_ratios.emplace_back(tail.image, tail.share);
+                notice.filling_load = filling;
                 this->port->Send(notice);
               }});
   this->port = std::make_unique<PlannerPort>(
       &this->thread, this->settings.name, this->log,
       PlannerPortHandlers{
-          .on_planner =
+          .on_planner_connected =
               [this] {
                 this->orders_seen = 0;
                 this->Report();
                 // A planner that took over knows nothing of pairs yet.
-                this->port->Send(PairsNotice{0, this->guard->Pairs()});
+                this->port->Send(InterferenceNotice{0, this->guard->Pairs()});
               },
-          .on_lost = [] {},
-          .is_store_lost = nullptr,
+          .on_planner_disconnected = [] {},
+          .is_store_unreachable = nullptr,
           .rules_out_long_grants = nullptr,
           .on_ping = [this](const PlannerPing& ping) { this->OnPing(ping); },
           .on_message =
@@ -186,7 +186,7 @@
 
 void FleetAgent::OnPing(const PlannerPing& ping) {
   if (ping.grant_ms > 0)
-    this->guard->SetAuthority(FromMicros(ping.echoed_stamp_us) +
+    this->guard->SetAuthority(FromMicros(ping.echoed_timestamp_us) +
                               absl::Milliseconds(ping.grant_ms));
 }
 
@@ -204,9 +204,9 @@
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     for (const StopRun& stop : stops->runs)
       this->guard->Stop(stop.task, stop.run);
-  } else if (const auto* confirm = std::get_if<ConfirmEnds>(&message)) {
-    this->guard->ConfirmEnds(confirm->born_ms, confirm->up_to);
-  } else if (const auto* pairs = std::get_if<PairsNotice>(&message)) {
+  } else if (const auto* confirm = std::get_if<ConfirmEndedRuns>(&message)) {
+    this->guard->ConfirmEnds(confirm->born_ms, confirm->last_number);
+  } else if (const auto* pairs = std::get_if<InterferenceNotice>(&message)) {
     this->guard->Learn(pairs->pairs);
   } else if (const auto* request = std::get_if<PermitRequest>(&message)) {
     this->OnPermitRequest(*request);
@@ -241,7 +241,7 @@
   if (!this->guard->IsKnown())
     return;
   WorkerNotice notice;
-  notice.orders_seen = this->orders_seen;
+  notice.last_received_number = this->orders_seen;
   notice.info = this->info;
   // A runner whose size is unknown takes no work yet.
   notice.alive = this->guard->IsAlive() && !this->info.runner.empty();
@@ -266,7 +266,7 @@
 void FleetAgent::ReportInfo() {
   if (!this->guard->IsKnown())
     return;
-  InfoNotice notice;
+  RunnerInfoNotice notice;
   notice.info = this->info;
   notice.info.born_ms = this->guard->BornMs();
   notice.alive =
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -85,23 +85,24 @@
   this->port = std::make_unique<PlannerPort>(
       &this->thread, this->settings.name, this->log,
       PlannerPortHandlers{
-          .on_planner = [this] { this->OnPlanner(); },
-          .on_lost = [this] { this->view.store_trouble = false; },
-          .is_store_lost =
+          .on_planner_connected = [this] { this->OnPlanner(); },
+          .on_planner_disconnected =
+              [this] { this->view.commits_failing = false; },
+          .is_store_unreachable =
               [this] {
-                const bool lost = this->follower->IsStoreLost();
+                const bool lost = this->follower->IsStoreUnreachable();
                 if (lost)
-                  this->view.last_lost_report = BootClock().Now();
+                  this->view.last_unreachable_report = BootClock().Now();
                 return lost;
               },
           .rules_out_long_grants =
               [this] {
-                return RulesOutLongGrants(this->view.last_lost_report,
+                return RulesOutLongGrants(this->view.last_unreachable_report,
                                           BootClock().Now());
               },
           .on_ping =
               [this](const PlannerPing& ping) {
-                this->view.store_trouble = ping.store_trouble;
+                this->view.commits_failing = ping.commits_failing;
               },
           .on_message =
               [this](FleetMessage&& message) {
@@ -134,15 +135,15 @@
       [this](const FleetPolicy& policy) { this->planner->SetPolicy(policy); });
   this->follower->Start();
   // What an earlier process on this VM has reported is not known.
-  this->view.last_lost_report = BootClock().Now();
+  this->view.last_unreachable_report = BootClock().Now();
   this->Tick();
   return Ok();
 }
 
 void FleetEntry::Tick() {
   // A planner that does not know of this entry can't ask for its word.
-  if (!this->registration->IsDone())
-    this->view.last_lost_report = BootClock().Now();
+  if (!this->registration->IsRegistered())
+    this->view.last_unreachable_report = BootClock().Now();
   this->view.connected = this->port->IsConnected();
   this->view.last_ping = this->port->LastPing();
   this->view.epoch = this->port->Epoch();
--- a/daemon/fleet_entry_submit.cc
+++ b/daemon/fleet_entry_submit.cc
@@ -60,7 +60,7 @@
       absl::Milliseconds(
           CallerPatienceMs(exchange->headers).value_or(kDefaultPatienceMs)) -
       kAnswerMargin;
-  if (this->follower->IsStoreLost())
+  if (this->follower->IsStoreUnreachable())
     this->OnStoreUnavailable(submit);
   else
     this->SendSubmit(submit);
@@ -94,7 +94,7 @@
     this->NoteDoubtful(id);
   }
   // A lost reply is followed up; an outage is not waited for.
-  if (refused || this->follower->IsStoreLost() ||
+  if (refused || this->follower->IsStoreUnreachable() ||
       BootClock().Now() + kRetryPause >= submit->deadline) {
     this->OnStoreUnavailable(submit);
     return;
@@ -138,7 +138,7 @@
                        std::function<void(bool stored)> done) {
   const absl::Duration left =
       std::min(deadline - BootClock().Now(), kRelayTimeout);
-  if (!this->port->IsConnected() || this->view.store_trouble ||
+  if (!this->port->IsConnected() || this->view.commits_failing ||
       left <= absl::ZeroDuration())
     return false;
   const uint64_t number = this->next_relay++;
--- a/daemon/fleet_message.h
+++ b/daemon/fleet_message.h
@@ -7,8 +7,13 @@
 //   Result<FleetMessage> message = DecodeFleetMessage(payload);
 //
 // The planner connects to every process. Each of its messages carries its
-// epoch; a receiver that has seen a higher one answers with a NodePong that
-// tells it, and does nothing else.
+// epoch. A receiver that has received a higher epoch ignores the message and
+// answers with a NodePong that carries the higher epoch.
+//
+// By a grant in a ping the planner lets an agent keep its runner running until
+// the grant deadline. A planner that can't renew its grants thus knows when the
+// tasks of an agent that it does not reach have stopped. While no entry reaches
+// the store, the planner makes long grants; see FleetPlanner.
 
 #include <cstdint>
 #include <map>
@@ -35,59 +40,65 @@
   static std::string_view Message(FleetMessageError error);
 };
 
-// Planner to all, several times a second.
+// Planner to all processes, several times a second.
 struct PlannerPing {
   uint64_t epoch = 0;
   std::string planner;
-  // The latest stamp of the receiver that the planner has got, in microseconds
-  // of the receiver's boot clock; 0 for none.
-  int64_t echoed_stamp_us = 0;
-  // How long after that stamp the receiver's runner may run what it runs, in
-  // milliseconds; 0 grants nothing.
+  // Latest NodePong::timestamp_us that the planner received from this process;
+  // 0 for none.
+  int64_t echoed_timestamp_us = 0;
+  // The grant in milliseconds from that timestamp on, during which the agent
+  // may keep its runner running; 0 grants nothing.
   int64_t grant_ms = 0;
-  // The planner's commits fail; an entry that reaches the store should plan.
-  bool store_trouble = false;
+  // The planner's commits to the store fail; an entry that reaches the store
+  // should take over.
+  bool commits_failing = false;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->epoch, this->planner, this->echoed_stamp_us, this->grant_ms,
-            this->store_trouble);
+    archive(this->epoch, this->planner, this->echoed_timestamp_us,
+            this->grant_ms, this->commits_failing);
   }
 };
 
-// Answer to a ping.
+// Answer to a ping, or to a message of an outdated epoch.
 struct NodePong {
   std::string vm;
-  int64_t stamp_us = 0;
-  // The highest epoch that the process has seen.
+  // Boot clock of the sender in microseconds; 0 in an answer to a message of an
+  // outdated epoch.
+  int64_t timestamp_us = 0;
+  // The highest epoch that the process has received.
   uint64_t highest_epoch = 0;
-  // The process is an entry that does not reach the store. It has promised to
-  // count with long grants if it becomes the planner.
-  bool store_lost = false;
-  // The process is an entry that has made no such promise for so long that no
+  // The process is an entry that does not reach the store. With this report it
+  // commits to assume long grants in force if it becomes the planner soon
+  // after.
+  bool store_unreachable = false;
+  // The process is an entry that has sent no such report for so long that no
   // long grant can be in force.
   bool rules_out_long_grants = false;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->vm, this->stamp_us, this->highest_epoch, this->store_lost,
-            this->rules_out_long_grants);
+    archive(this->vm, this->timestamp_us, this->highest_epoch,
+            this->store_unreachable, this->rules_out_long_grants);
   }
 };
 
+// An order to run a task, or the description of a run.
 struct RunOrder {
   TaskRef task;
   uint32_t run = 0;
   std::string checkpoint;
-  // Position of the task's text in StartRuns::texts.
+  // Index of the task's text in StartRuns::texts.
   uint32_t text = 0;
+  // True for a filling task.
   bool fills = false;
-  // Limit for the tail of its response times; 0 for a task that serves nobody.
+  // Limit of the tail latency in milliseconds; 0 unless this is a serving task.
   int64_t latency_objective_ms = 0;
-  // Tasks of the same image behave alike.
+  // Tasks of the same image share their interference coefficients.
   std::string image;
   int64_t millicores = 0;
-  // The adviser's ticket; empty without.
+  // The adviser's ticket; empty if there is none.
   std::string ticket;
 
   template <class Archive>
@@ -98,10 +109,10 @@
   }
 };
 
-// Planner to agent.
+// Planner to agent: start these runs.
 struct StartRuns {
   uint64_t epoch = 0;
-  // Counts these messages on one connection, from 1.
+  // Sequence number of the StartRuns messages on one connection, from 1.
   uint64_t number = 0;
   std::vector<std::string> texts;
   std::vector<RunOrder> runs;
@@ -122,6 +133,7 @@
   }
 };
 
+// Planner to agent: stop these runs.
 struct StopRuns {
   uint64_t epoch = 0;
   std::vector<StopRun> runs;
@@ -132,19 +144,22 @@
   }
 };
 
-// The ends up to this number of one life of the runner are stored.
-struct ConfirmEnds {
+// Planner to agent: the outcomes of the runs of one incarnation of the runner
+// are stored, up to the EndedRun::number `last_number`.
+struct ConfirmEndedRuns {
   uint64_t epoch = 0;
+  // RunnerInfo::born_ms, which identifies the incarnation.
   int64_t born_ms = 0;
-  uint64_t up_to = 0;
+  uint64_t last_number = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->epoch, this->born_ms, this->up_to);
+    archive(this->epoch, this->born_ms, this->last_number);
   }
 };
 
-// What an agent that was restarted needs to know of the runs it reported.
+// Planner to agent: the properties of the filling and serving runs on the VM,
+// which an agent that was restarted can't learn from its runner.
 struct DescribeRuns {
   uint64_t epoch = 0;
   std::vector<RunOrder> runs;
@@ -157,6 +172,7 @@
 
 struct StateNotice {
   std::string submission;
+  // A SubmissionState.
   uint8_t state = 0;
 
   template <class Archive>
@@ -165,7 +181,7 @@
   }
 };
 
-// Planner to entry: states that have changed.
+// Planner to entry: submission states that have changed.
 struct StateNotices {
   uint64_t epoch = 0;
   std::vector<StateNotice> states;
@@ -176,8 +192,8 @@
   }
 };
 
-// Planner to entry: submissions without a started task, by queue. Queues
-// without any are left out.
+// Planner to entry: the number of submissions without a started task, by queue.
+// Queues without such submissions are left out.
 struct WaitingNotice {
   uint64_t epoch = 0;
   std::map<std::string, uint64_t> waiting;
@@ -188,26 +204,28 @@
   }
 };
 
-// Agent to planner: everything that its runner runs, after a connection is
-// made and after the runner's life has changed.
+// Agent to planner: all runs on its runner. Sent when a connection is opened
+// and when the runner's incarnation has changed.
 struct WorkerNotice {
-  // The last StartRuns that had arrived on the connection. Runs of later ones
-  // are on their way and not in the lists.
-  uint64_t orders_seen = 0;
+  // StartRuns::number of the last StartRuns that arrived on the connection.
+  // Runs of later ones are in transit and not in the lists.
+  uint64_t last_received_number = 0;
   RunnerInfo info;
+  // The runner answers.
   bool alive = false;
   std::vector<ActiveRun> running;
   std::vector<EndedRun> ended;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->orders_seen, this->info, this->alive, this->running,
+    archive(this->last_received_number, this->info, this->alive, this->running,
             this->ended);
   }
 };
 
-// Agent to planner: what the runner says of itself has changed.
-struct InfoNotice {
+// Agent to planner: the information that the runner reports about itself has
+// changed.
+struct RunnerInfoNotice {
   RunnerInfo info;
   bool alive = false;
 
@@ -217,7 +235,7 @@
   }
 };
 
-// Agent to planner: a start was refused.
+// Agent to planner: the runner or the agent refused to start a run.
 struct StartRefused {
   TaskRef task;
   uint32_t run = 0;
@@ -230,9 +248,9 @@
   }
 };
 
-// Agent to planner: the runner has started tasks of these submissions. Told
-// together for the starts of a moment, since only the number of waiting
-// submissions depends on it.
+// Agent to planner: the runner has started tasks of these submissions. One
+// message covers all starts within a short time, since only the number of
+// waiting submissions depends on it.
 struct StartedNotice {
   std::set<std::string> submissions;
 
@@ -242,31 +260,36 @@
   }
 };
 
-// Agent to planner.
-struct EndNotices {
+// Agent to planner: these runs have ended.
+struct EndedRunsNotice {
+  // RunnerInfo::born_ms of the runner's incarnation.
   int64_t born_ms = 0;
-  std::vector<EndedRun> ends;
+  std::vector<EndedRun> ended_runs;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->born_ms, this->ends);
+    archive(this->born_ms, this->ended_runs);
   }
 };
 
-// Agent to planner: the tails of serving tasks, as shares of their limits, and
-// the filling images beside them with the parts of the VM that they use.
-struct NeighbourNotice {
-  std::vector<std::pair<std::string, double>> serving;
-  FillingLoad filling;
+// Agent to planner: one sample of the latency ratios of serving tasks on its
+// VM, with the load of the filling images there.
+struct InterferenceSample {
+  // Images of serving tasks with their latency ratios.
+  std::vector<std::pair<std::string, double>> latency_ratios;
+  FillingLoad filling_load;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->serving, this->filling);
+    archive(this->latency_ratios, this->filling_load);
   }
 };
 
-// Planner to agent: what all agents' looks have taught of the images on its VM.
-struct PairsNotice {
+// The interference coefficients of pairs of images. Planner to agent: estimates
+// from the samples of all agents, for the images on the agent's VM. Agent to
+// planner, on a new connection: the estimates that the agent has, for a planner
+// that has none yet.
+struct InterferenceNotice {
   uint64_t epoch = 0;
   std::vector<PairEvidence> pairs;
 
@@ -276,14 +299,15 @@
   }
 };
 
-// Planner to agent: ask the adviser. The adviser handles one call at a time for
-// each VM, so that the calls of a burst are spread over the agents.
+// Planner to agent: ask the adviser for permits. The adviser handles one call
+// at a time for each VM, so the planner spreads concurrent calls over the
+// agents.
 struct PermitRequest {
   uint64_t epoch = 0;
   uint64_t number = 0;
   StepRef step;
   std::vector<std::string> runners;
-  // How long the answer may take.
+  // Timeout of the call in milliseconds.
   int64_t timeout_ms = 0;
 
   template <class Archive>
@@ -293,12 +317,13 @@
   }
 };
 
-// Agent to planner: the answer to that request.
+// Agent to planner: the answer to the PermitRequest with this number.
 struct PermitAnswer {
   uint64_t number = 0;
-  // The adviser has answered.
+  // False if the agent has no adviser or the call to it failed.
   bool answered = false;
   std::vector<GrantedRunner> granted;
+  // Validity of the permits in milliseconds.
   int64_t valid_ms = 0;
 
   template <class Archive>
@@ -307,7 +332,7 @@
   }
 };
 
-// Entry to planner: a submission is stored.
+// Entry to planner: this submission is accepted and stored.
 struct AcceptedNotice {
   Submission submission;
 
@@ -317,12 +342,12 @@
   }
 };
 
-// Entry to planner: the store refuses the entry; the planner is to store the
-// submission, or its cancellation, in its place.
+// Entry to planner: store this submission, or its cancellation, for the entry,
+// whose own calls the store refuses.
 struct StoreRequest {
   uint64_t number = 0;
   Submission submission;
-  // Only the id of the submission is set, which is to be cancelled.
+  // Cancels the submission, of which only the id is set.
   bool cancel = false;
 
   template <class Archive>
@@ -331,7 +356,7 @@
   }
 };
 
-// Planner to entry: the row of that request is stored.
+// Planner to entry: the row of the StoreRequest with this number is stored.
 struct StoreDone {
   uint64_t epoch = 0;
   uint64_t number = 0;
@@ -342,7 +367,7 @@
   }
 };
 
-// Entry to planner: a cancellation is stored.
+// Entry to planner: the cancellation of this submission is stored.
 struct CancelledNotice {
   std::string submission;
 
@@ -356,16 +381,16 @@
                                   NodePong,
                                   StartRuns,
                                   StopRuns,
-                                  ConfirmEnds,
+                                  ConfirmEndedRuns,
                                   DescribeRuns,
                                   StateNotices,
                                   WaitingNotice,
                                   WorkerNotice,
-                                  InfoNotice,
+                                  RunnerInfoNotice,
                                   StartRefused,
-                                  EndNotices,
-                                  NeighbourNotice,
-                                  PairsNotice,
+                                  EndedRunsNotice,
+                                  InterferenceSample,
+                                  InterferenceNotice,
                                   AcceptedNotice,
                                   StoreRequest,
                                   StoreDone,
@@ -374,7 +399,8 @@
                                   PermitAnswer,
                                   StartedNotice>;
 
-// The payload of a frame: a tag byte and the message.
+// Returns the payload of a frame: a tag byte, which is the index of the
+// message's type in FleetMessage, and the message.
 std::string EncodeFleetMessage(const FleetMessage& message);
 
 // Fails with CodecError or FleetMessageError::kUnknownTag.
--- a/daemon/fleet_planner.cc
+++ b/daemon/fleet_planner.cc
@@ -10,59 +10,61 @@
 
 namespace {
 
-// A planner that was not heard for this long is taken for dead if its lease
-// row stands still as well; it pings every 400 ms.
-constexpr absl::Duration kPlannerSilence = absl::Milliseconds(1500);
+// A planner without a ping for this long is assumed to have failed if its lease
+// row does not change either. It pings every 400 ms.
+constexpr absl::Duration kPlannerPingTimeout = absl::Milliseconds(1500);
 
-// How long an entry waits after its connection to the planner ended: a living
-// planner connects again within 250 ms.
+// Time that an entry waits after the planner's connection was closed before it
+// tries to claim the lease: a running planner reconnects within 250 ms.
 constexpr absl::Duration kReconnectGrace = absl::Milliseconds(350);
 
-// What agents are granted while the store answers: longer than a short cut of
-// a VM (5.5 s on the sites) less the age of the stamp, and short enough that
+// Grant while the store answers. Longer than a short network cut of a VM (5.5 s
+// on the sites) less the age of the echoed timestamp, and short enough that the
 // work of a lost VM starts again within 7 s.
 constexpr absl::Duration kGrant = absl::Milliseconds(6000);
 
-// What agents are granted while no entry reaches the store, so that no work is
-// lost to an outage (up to 9 s on the sites) and the takeover after it. The
-// last such grant is made kLeasePeriod after the last commit.
-const absl::Duration kOutageGrant = absl::Milliseconds(8500);
+// Grant while no entry reaches the store, so that no work is lost to an outage
+// (up to 9 s on the sites) and the takeover after it. The last such grant is
+// made kLeasePeriod after the last commit.
+const absl::Duration kLongGrant = absl::Milliseconds(8500);
 
-// Factor for the rates of two clocks, and time for a message on its way.
-constexpr double kClockMargin = 1.04;
+// Factor for the drift between two clocks, and allowance for a message in
+// transit.
+constexpr double kClockDriftFactor = 1.04;
 const absl::Duration kGrantSlack = absl::Milliseconds(100);
 
-// A planner whose last commit is older than this is in trouble.
-constexpr absl::Duration kTroubleAfter = absl::Milliseconds(1300);
+// The commits of a planner count as failing when the last successful one is
+// older than this.
+constexpr absl::Duration kCommitsFailingAfter = absl::Milliseconds(1300);
 
-// An entry that has not told a planner for this long that it does not reach the
-// store knows that no long grant can be in force.
-const absl::Duration kLongGrantMemory =
-    kLeasePeriod + kOutageGrant * kClockMargin + absl::Seconds(1);
+// If an entry has not reported for this long that it does not reach the store,
+// no long grant can be in force.
+const absl::Duration kLongGrantsRuledOutAfter =
+    kLeasePeriod + kLongGrant * kClockDriftFactor + absl::Seconds(1);
 
-// Events of one moment are planned together. A plan that takes long is followed
-// by a pause of the same length, so that an entry with a small part of a core
-// still answers callers and renews its lease in time.
-constexpr absl::Duration kLeastRunPause = absl::Milliseconds(2);
-constexpr absl::Duration kMostRunPause = absl::Milliseconds(250);
+// Bounds of the delay before a plan, in which events are collected. A plan that
+// takes long is followed by a delay of the same length, so that an entry with a
+// small part of a core still answers callers and renews its lease in time.
+constexpr absl::Duration kMinPlanPause = absl::Milliseconds(2);
+constexpr absl::Duration kMaxPlanPause = absl::Milliseconds(250);
 
-constexpr absl::Duration kWaitingInterval = absl::Milliseconds(400);
+constexpr absl::Duration kWaitingNoticeInterval = absl::Milliseconds(400);
 
-// Runs in one message, which keeps it below the longest frame: texts have up
-// to 4,000 bytes.
+// Limit of the runs in one message, which keeps it below the maximum frame
+// length: texts have up to 4,000 bytes.
 constexpr size_t kMaxRunsInMessage = 25;
 
-// Starts to one VM that are remembered as possibly on their way. A runner has
-// room for fewer new tasks within the time of a message.
-constexpr size_t kMaxSentRuns = 200;
+// Limit of the starts to one VM that are kept as possibly in transit. A runner
+// has capacity for fewer new tasks within the time that a message takes.
+constexpr size_t kMaxSentStarts = 200;
 
-// Notices in one message.
+// Limit of the states in one message.
 constexpr size_t kMaxStatesInMessage = 2000;
 
 }  // namespace
 
-bool RulesOutLongGrants(absl::Time last_lost_report, absl::Time now) {
-  return now - last_lost_report >= kLongGrantMemory;
+bool RulesOutLongGrants(absl::Time last_unreachable_report, absl::Time now) {
+  return now - last_unreachable_report >= kLongGrantsRuledOutAfter;
 }
 
 FleetPlanner::FleetPlanner(boost::asio::io_context* context,
@@ -87,132 +89,132 @@
             vm,
             log,
             {.on_connected =
-                 [this](const std::string& node, bool agent) {
-                   if (!agent && this->scheduler) {
+                 [this](const std::string& node, bool is_agent) {
+                   if (!is_agent && this->scheduler) {
                      this->SendStates(this->scheduler->AllStates());
-                     this->next_waiting = absl::InfinitePast();
+                     this->next_waiting_notice = absl::InfinitePast();
                    }
                    this->log->Write(LogLine("node_connected")
                                         .Add("node", node)
-                                        .Add("agent", agent));
+                                        .Add("agent", is_agent));
                  },
-             .on_lost =
-                 [this](const std::string& node, bool agent) {
-                   if (!agent || !this->scheduler)
+             .on_disconnected =
+                 [this](const std::string& node, bool is_agent) {
+                   if (!is_agent || !this->scheduler)
                      return;
-                   this->put_off.erase(node);
-                   this->sent.erase(node);
+                   this->deferred.erase(node);
+                   this->sent_starts.erase(node);
                    this->scheduler->Disconnected(node);
                    this->FailQueries(
                        [&](const SentQuery& query) { return query.vm == node; },
                        BootClock().Now());
                  },
-             .on_no_long_grants = [this] { this->OnNoLongGrants(); },
+             .on_long_grants_ruled_out = [this] { this->OnNoLongGrants(); },
              .on_granted =
-                 [this](const std::string& node, absl::Time end) {
+                 [this](const std::string& node, absl::Time grant_deadline) {
                    if (this->scheduler)
-                     this->scheduler->ExtendAuthority(node, end);
+                     this->scheduler->ExtendAuthority(node, grant_deadline);
                  },
              .on_message =
                  [this](const std::string& node, FleetMessage&& message) {
                    if (this->scheduler)
                      this->OnNodeMessage(node, std::move(message));
                  },
-             .on_deposed = [this] { this->StepDown(); }}),
+             .on_higher_epoch = [this] { this->StepDown(); }}),
       lease(context,
             store,
             vm,
             log,
             {.on_claimed = [this](uint64_t epoch) { this->OnClaimed(epoch); },
-             .on_deposed = [this] { this->StepDown(); }}),
-      run_timer(*context) {}
+             .on_lease_lost = [this] { this->StepDown(); }}),
+      plan_timer(*context) {}
 
 void FleetPlanner::SetPolicy(const FleetPolicy& new_policy) {
   this->policy = new_policy;
   if (this->scheduler) {
     this->scheduler->SetPolicy(new_policy);
-    this->ScheduleRun();
+    this->SchedulePlan();
   }
 }
 
 bool FleetPlanner::ShouldClaim(const PlannerView& view,
                                absl::Time now,
-                               uint64_t* failing) {
-  *failing = 0;
+                               uint64_t* failing_epoch) {
+  *failing_epoch = 0;
   if (this->policy.version == 0 || this->stopping)
     return false;
   if (view.connected) {
-    this->lost_since = absl::InfinitePast();
-    if (view.store_trouble) {
-      *failing = view.epoch;
+    this->disconnected_since = absl::InfinitePast();
+    if (view.commits_failing) {
+      *failing_epoch = view.epoch;
       return true;
     }
-    return now - view.last_ping > kPlannerSilence;
+    return now - view.last_ping > kPlannerPingTimeout;
   }
-  if (this->lost_since == absl::InfinitePast())
-    this->lost_since = now;
-  return now - this->lost_since > kReconnectGrace ||
+  if (this->disconnected_since == absl::InfinitePast())
+    this->disconnected_since = now;
+  return now - this->disconnected_since > kReconnectGrace ||
          view.last_ping == absl::InfinitePast();
 }
 
 void FleetPlanner::Tick(const PlannerView& view) {
   const absl::Time now = BootClock().Now();
-  this->last_lost_report = view.last_lost_report;
+  this->last_unreachable_report = view.last_unreachable_report;
   if (view.epoch > this->lease.Epoch())
     this->StepDown();
   if (!this->lease.IsHeld()) {
-    uint64_t failing = 0;
-    if (this->ShouldClaim(view, now, &failing))
-      this->lease.Claim(failing);
+    uint64_t failing_epoch = 0;
+    if (this->ShouldClaim(view, now, &failing_epoch))
+      this->lease.Claim(failing_epoch);
     return;
   }
   this->lease.Renew();
   if (!this->scheduler)
     return;
-  this->nodes.Tick(this->Grant(now), this->InTrouble(now));
-  // Without a valid lease another planner may have granted more.
-  if (now < this->lease.ValidUntil())
+  this->nodes.Tick(this->CurrentGrant(now), this->CommitsFailing(now));
+  // Once the lease has expired, another planner may have made later grants.
+  if (now < this->lease.Expiry())
     this->scheduler->Expire(now);
   this->FailQueries(
       [now](const SentQuery& query) { return query.deadline < now; }, now);
-  this->RepairFromFeeds(now);
-  this->RemoveOutdated(now);
-  this->SendWaiting(now);
-  this->Run();
+  this->ReconcileFromFeeds(now);
+  this->RemoveExpiredSubmissions(now);
+  this->SendWaitingCounts(now);
+  this->PlanAndSend();
 }
 
-absl::Duration FleetPlanner::Grant(absl::Time now) const {
-  if (!this->InTrouble(now))
+absl::Duration FleetPlanner::CurrentGrant(absl::Time now) const {
+  if (!this->CommitsFailing(now))
     return kGrant;
-  if (now < this->lease.ValidUntil() && this->nodes.AllEntriesLostStore(now))
-    return kOutageGrant;
-  // Another entry may reach the store and take over.
+  if (now < this->lease.Expiry() && this->nodes.NoEntryReachesStore(now))
+    return kLongGrant;
+  // Another entry may reach the store and take over, so no grant is made.
   return absl::ZeroDuration();
 }
 
-// When silent workers of the planner before this one have stopped for certain.
-absl::Time FleetPlanner::EarlierAuthorityEnd(bool long_grants_made) const {
-  const absl::Time last_commit = this->lease.PredecessorEnd();
-  const absl::Duration after = long_grants_made
-                                   ? kLeasePeriod + kOutageGrant * kClockMargin
-                                   : kTroubleAfter + kGrant * kClockMargin;
-  return last_commit + after + kGrantSlack;
+absl::Time FleetPlanner::InheritedGrantDeadline(bool long_grants_made) const {
+  const absl::Time last_commit = this->lease.PredecessorLastCommit();
+  const absl::Duration commit_to_deadline =
+      long_grants_made ? kLeasePeriod + kLongGrant * kClockDriftFactor
+                       : kCommitsFailingAfter + kGrant * kClockDriftFactor;
+  return last_commit + commit_to_deadline + kGrantSlack;
 }
 
 void FleetPlanner::OnNoLongGrants() {
-  if (!this->scheduler || !std::exchange(this->long_grants, false))
+  if (!this->scheduler || !std::exchange(this->long_grants_possible, false))
     return;
-  const absl::Time end = this->EarlierAuthorityEnd(false);
+  const absl::Time grant_deadline = this->InheritedGrantDeadline(false);
   this->log->Write(
       LogLine("long_grants_ruled_out")
           .Add("epoch", this->lease.Epoch())
           .Add("workers_to_hear", this->scheduler->UnresolvedCount())
-          .Add("wait_ms", absl::ToDoubleMilliseconds(end - BootClock().Now())));
-  this->scheduler->LimitInherited(end);
+          .Add("wait_ms",
+               absl::ToDoubleMilliseconds(grant_deadline - BootClock().Now())));
+  this->scheduler->LimitInherited(grant_deadline);
 }
 
-bool FleetPlanner::InTrouble(absl::Time now) const {
-  return now - this->lease.LastSuccess() > kTroubleAfter;
+bool FleetPlanner::CommitsFailing(absl::Time now) const {
+  return now - this->lease.LastCommitTime() > kCommitsFailingAfter;
 }
 
 void FleetPlanner::StepDown() {
@@ -222,16 +224,16 @@
       LogLine("planner_stopped").Add("epoch", this->lease.Epoch()));
   ++this->term;
   this->lease.Drop();
-  this->nodes.End();
+  this->nodes.Stop();
   this->scheduler = nullptr;
-  this->to_confirm.clear();
-  this->put_off.clear();
-  this->sent.clear();
+  this->ends_to_confirm.clear();
+  this->deferred.clear();
+  this->sent_starts.clear();
   this->queries.clear();
   this->stale_progress.clear();
-  this->reading_unknown = false;
-  this->feeds_running.clear();
-  this->lost_since = absl::InfinitePast();
+  this->reading_submissions = false;
+  this->feeds_in_progress.clear();
+  this->disconnected_since = absl::InfinitePast();
 }
 
 void FleetPlanner::Shutdown(std::function<void()> done) {
@@ -244,38 +246,41 @@
 
 void FleetPlanner::OnNodeMessage(const std::string& node,
                                  FleetMessage&& message) {
-  if (!this->PutOff(node, &message))
-    this->TakeNodeMessage(node, std::move(message));
+  if (!this->DeferMessage(node, &message))
+    this->HandleNodeMessage(node, std::move(message));
 }
 
-bool FleetPlanner::PutOff(const std::string& node, FleetMessage* message) {
-  const auto waiting = this->put_off.find(node);
-  bool known = waiting == this->put_off.end();
+bool FleetPlanner::DeferMessage(const std::string& node,
+                                FleetMessage* message) {
+  const auto deferred_before = this->deferred.find(node);
+  bool all_known = deferred_before == this->deferred.end();
   if (const auto* notice = std::get_if<WorkerNotice>(message))
-    known = known && this->scheduler->KnowsAll(notice->running, notice->ended);
-  else if (const auto* ends = std::get_if<EndNotices>(message))
-    known = known && this->scheduler->KnowsAll({}, ends->ends);
-  if (known)
+    all_known =
+        all_known && this->scheduler->KnowsAll(notice->running, notice->ended);
+  else if (const auto* ends_notice = std::get_if<EndedRunsNotice>(message))
+    all_known =
+        all_known && this->scheduler->KnowsAll({}, ends_notice->ended_runs);
+  if (all_known)
     return false;
-  this->put_off[node].push_back(std::move(*message));
-  this->ReadUnknown();
+  this->deferred[node].push_back(std::move(*message));
+  this->ReadUnknownSubmissions();
   return true;
 }
 
-void FleetPlanner::TakePutOff() {
-  auto messages = std::exchange(this->put_off, {});
+void FleetPlanner::HandleDeferredMessages() {
+  auto messages = std::exchange(this->deferred, {});
   for (auto& [node, list] : messages) {
     for (FleetMessage& message : list)
-      this->TakeNodeMessage(node, std::move(message));
+      this->HandleNodeMessage(node, std::move(message));
   }
 }
 
-void FleetPlanner::TakeNodeMessage(const std::string& node,
-                                   FleetMessage&& message) {
+void FleetPlanner::HandleNodeMessage(const std::string& node,
+                                     FleetMessage&& message) {
   const absl::Time now = BootClock().Now();
   if (auto* notice = std::get_if<WorkerNotice>(&message)) {
     this->OnWorkerNotice(node, std::move(*notice));
-  } else if (const auto* info = std::get_if<InfoNotice>(&message)) {
+  } else if (const auto* info = std::get_if<RunnerInfoNotice>(&message)) {
     this->scheduler->UpdateInfo(node, info->info, info->alive);
   } else if (const auto* refused = std::get_if<StartRefused>(&message)) {
     this->log->Write(
@@ -293,8 +298,8 @@
     for (const std::string& id : started->submissions)
       this->scheduler->OnStarted(id);
     return;
-  } else if (const auto* ends = std::get_if<EndNotices>(&message)) {
-    for (const EndedRun& end : ends->ends) {
+  } else if (const auto* ends_notice = std::get_if<EndedRunsNotice>(&message)) {
+    for (const EndedRun& end : ends_notice->ended_runs) {
       this->ends_total.Add();
       this->log->Write(LogLine("end")
                            .Add("submission", end.task.submission)
@@ -305,21 +310,23 @@
                            .Add("number", end.number)
                            .Add("how", ToString(end.kind)));
       this->scheduler->OnEnded(node, end, now);
-      this->to_confirm[node] = {ends->born_ms, end.number};
+      this->ends_to_confirm[node] = {ends_notice->born_ms, end.number};
     }
-  } else if (const auto* looks = std::get_if<NeighbourNotice>(&message)) {
-    for (const auto& [image, share] : looks->serving)
-      this->scheduler->Observe(node, image, share, looks->filling, now);
-    this->nodes.Send(
-        node, PairsNotice{this->lease.Epoch(), this->scheduler->PairsOn(node)});
+  } else if (const auto* sample = std::get_if<InterferenceSample>(&message)) {
+    for (const auto& [image, latency_ratio] : sample->latency_ratios)
+      this->scheduler->Observe(node, image, latency_ratio, sample->filling_load,
+                               now);
+    this->nodes.Send(node, InterferenceNotice{this->lease.Epoch(),
+                                              this->scheduler->PairsOn(node)});
     return;
-  } else if (const auto* pairs = std::get_if<PairsNotice>(&message)) {
+  } else if (const auto* pairs = std::get_if<InterferenceNotice>(&message)) {
     this->scheduler->Adopt(pairs->pairs);
     return;
   } else if (const auto* answer = std::get_if<PermitAnswer>(&message)) {
     this->OnPermitAnswer(*answer);
   } else if (const auto* accepted = std::get_if<AcceptedNotice>(&message)) {
-    // An earlier planner may have found it in the table before.
+    // An earlier planner may already have read it from the table and started
+    // it.
     this->scheduler->Add(accepted->submission, std::nullopt,
                          UncertainSince(this->lease.Epoch()), now, absl::Now());
   } else if (const auto* request = std::get_if<StoreRequest>(&message)) {
@@ -327,7 +334,7 @@
   } else if (const auto* cancelled = std::get_if<CancelledNotice>(&message)) {
     this->scheduler->Cancel(cancelled->submission);
   }
-  this->ScheduleRun();
+  this->SchedulePlan();
 }
 
 void FleetPlanner::OnStoreRequest(const std::string& node,
@@ -336,7 +343,7 @@
   std::vector<StorePut> puts;
   if (request.cancel)
     puts.push_back({kCancellationTable, id, ""});
-  // A known submission has its row already, which is written only once.
+  // A known submission already has its row, which is written only once.
   else if (!this->scheduler->Knows(id))
     puts.push_back(
         {kSubmissionTable, id, Encode(SubmissionRow{request.submission})});
@@ -348,18 +355,18 @@
                            UncertainSince(this->lease.Epoch()),
                            BootClock().Now(), absl::Now());
     this->nodes.Send(node, StoreDone{this->lease.Epoch(), request.number});
-    this->ScheduleRun();
+    this->SchedulePlan();
   });
 }
 
 void FleetPlanner::OnWorkerNotice(const std::string& node,
                                   WorkerNotice&& notice) {
   for (const EndedRun& end : notice.ended)
-    this->to_confirm[node] = {notice.info.born_ms, end.number};
+    this->ends_to_confirm[node] = {notice.info.born_ms, end.number};
   WorkerReport report{node, notice.info, notice.alive, notice.running,
                       notice.ended};
-  for (const SentRun& run : this->sent[node].runs) {
-    if (run.number > notice.orders_seen)
+  for (const SentStart& run : this->sent_starts[node].runs) {
+    if (run.number > notice.last_received_number)
       report.running.push_back({run.task, run.run, "", 0, true});
   }
   this->log->Write(LogLine("worker_reported")
@@ -394,26 +401,26 @@
     this->nodes.Send(node, describe);
 }
 
-void FleetPlanner::ScheduleRun() {
-  if (std::exchange(this->run_scheduled, true))
+void FleetPlanner::SchedulePlan() {
+  if (std::exchange(this->plan_scheduled, true))
     return;
-  this->run_timer.expires_after(absl::ToChronoMicroseconds(this->run_pause));
-  this->run_timer.async_wait([this](std::error_code error) {
-    this->run_scheduled = false;
+  this->plan_timer.expires_after(absl::ToChronoMicroseconds(this->plan_pause));
+  this->plan_timer.async_wait([this](std::error_code error) {
+    this->plan_scheduled = false;
     if (!error && this->scheduler)
-      this->Run();
+      this->PlanAndSend();
   });
 }
 
-void FleetPlanner::Run() {
-  const absl::Time begin = BootClock().Now();
-  this->SendOrders(this->scheduler->Plan(begin));
+void FleetPlanner::PlanAndSend() {
+  const absl::Time plan_start = BootClock().Now();
+  this->SendOrders(this->scheduler->Plan(plan_start));
   const std::vector<StateChange> changes = this->scheduler->TakeChanges();
   if (!changes.empty())
     this->SendStates(changes);
   this->Flush();
-  this->run_pause =
-      std::clamp(BootClock().Now() - begin, kLeastRunPause, kMostRunPause);
+  this->plan_pause =
+      std::clamp(BootClock().Now() - plan_start, kMinPlanPause, kMaxPlanPause);
 }
 
 void FleetPlanner::SendOrders(const Orders& orders) {
@@ -421,12 +428,12 @@
   std::map<std::string, StopRuns> stops;
   const auto send = [this](const std::string& node, StartRuns* message) {
     message->epoch = this->lease.Epoch();
-    SentRuns& sent_runs = this->sent[node];
-    message->number = ++sent_runs.last_number;
+    SentStarts& node_starts = this->sent_starts[node];
+    message->number = ++node_starts.last_number;
     for (const RunOrder& order : message->runs)
-      sent_runs.runs.push_back({message->number, order.task, order.run});
-    while (sent_runs.runs.size() > kMaxSentRuns)
-      sent_runs.runs.pop_front();
+      node_starts.runs.push_back({message->number, order.task, order.run});
+    while (node_starts.runs.size() > kMaxSentStarts)
+      node_starts.runs.pop_front();
     this->nodes.Send(node, *message);
     *message = {};
   };
@@ -487,7 +494,7 @@
 
 void FleetPlanner::Flush() {
   const auto dirty = this->scheduler->TakeDirty();
-  if (dirty.empty() && this->to_confirm.empty())
+  if (dirty.empty() && this->ends_to_confirm.empty())
     return;
   std::vector<StorePut> puts;
   std::vector<StateChange> finished;
@@ -498,22 +505,22 @@
       continue;
     }
     // The rows of a large commit are written in several steps, so the progress
-    // may go only once the end is stored.
+    // row may be removed only once the final state is stored.
     puts.push_back({kSubmissionTable, id,
                     Encode(this->scheduler->EndedRow(id, absl::Now()))});
     finished.push_back({id, progress.state});
   }
   if (!dirty.empty())
     removes.swap(this->stale_progress);
-  auto confirms = std::exchange(this->to_confirm, {});
+  auto confirms = std::exchange(this->ends_to_confirm, {});
   this->lease.Write(
       std::move(puts), removes,
       [this, confirms = std::move(confirms), finished = std::move(finished),
-       flushed = BootClock().Now()] {
-        this->store_wait_seconds.Observe(BootClock().Now() - flushed);
+       flush_time = BootClock().Now()] {
+        this->store_wait_seconds.Observe(BootClock().Now() - flush_time);
         for (const auto& [node, end] : confirms)
-          this->nodes.Send(
-              node, ConfirmEnds{this->lease.Epoch(), end.first, end.second});
+          this->nodes.Send(node, ConfirmEndedRuns{this->lease.Epoch(),
+                                                  end.first, end.second});
         for (const StateChange& change : finished) {
           this->scheduler->MarkStored(change.submission, change.state,
                                       BootClock().Now());
@@ -542,11 +549,11 @@
     this->nodes.SendToEntries(notices);
 }
 
-void FleetPlanner::SendWaiting(absl::Time now) {
-  if (now < this->next_waiting)
+void FleetPlanner::SendWaitingCounts(absl::Time now) {
+  if (now < this->next_waiting_notice)
     return;
-  this->next_waiting = now + kWaitingInterval;
-  // Sent also when nothing changed: an entry trusts only fresh counts.
+  this->next_waiting_notice = now + kWaitingNoticeInterval;
+  // Sent also when nothing has changed, since entries ignore outdated counts.
   this->nodes.SendToEntries(
       WaitingNotice{this->lease.Epoch(), this->scheduler->WaitingCounts()});
 }
--- a/daemon/fleet_planner.h
+++ b/daemon/fleet_planner.h
@@ -1,14 +1,22 @@
 #ifndef DAEMON_FLEET_PLANNER_H_
 #define DAEMON_FLEET_PLANNER_H_
 
-// The planner of submissions in an entry: takes the lease when nobody plans,
-// reads what is stored, connects to all processes and carries out what the
-// Scheduler decides.
+// The planner of submissions in an entry. It claims the lease when no other
+// entry plans, loads the state from the store, connects to all processes and
+// carries out the Scheduler's decisions.
 //
 //   FleetPlanner planner(&context, &store, "front-1", retention, &log,
 //                        &metrics);
 //   planner.SetPolicy(policy);
-//   planner.Tick(view);   // every 100 ms, with what the entry sees
+//   planner.Tick(view);   // every 100 ms, with the entry's PlannerView
+//
+// It lets each agent keep its runner running by grants, which it renews with
+// each ping. While its commits succeed they are short, so that the work of a
+// lost VM soon starts again elsewhere. While no entry reaches the store it
+// makes long grants, so that no work is lost to the outage. A new planner waits
+// until the grants that its predecessor may have made have expired before it
+// starts tasks that may still run on workers that have not reported. The wait
+// is shorter if long grants are ruled out.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -34,29 +42,31 @@
 
 namespace cuminjunction {
 
-// What an entry sees of the planner in charge.
+// An entry's view of the current planner, which may be in another process.
+// Times are by the boot clock.
 struct PlannerView {
+  // The planner has a connection to the entry.
   bool connected = false;
-  // When it was last heard, by the boot clock.
   absl::Time last_ping = absl::InfinitePast();
-  // When the entry last told a planner that it does not reach the store, or
-  // when it started.
-  absl::Time last_lost_report = absl::InfinitePast();
-  // The highest epoch that the entry has seen.
+  // When the entry last reported to a planner that it does not reach the store,
+  // or when it started.
+  absl::Time last_unreachable_report = absl::InfinitePast();
+  // The highest epoch that the entry has received.
   uint64_t epoch = 0;
-  // It said that its commits fail.
-  bool store_trouble = false;
+  // The planner's last ping reported that its commits fail.
+  bool commits_failing = false;
 };
 
-// Long grants need the word of every entry that it does not reach the store.
-// True when an entry that last gave it then, or started then, knows that none
-// can be in force.
-bool RulesOutLongGrants(absl::Time last_lost_report, absl::Time now);
+// Returns true if no long grant can be in force at `now`. A planner makes long
+// grants only while every entry reports that it does not reach the store, and
+// the entry that calls this last reported so, or started, at
+// `last_unreachable_report`.
+bool RulesOutLongGrants(absl::Time last_unreachable_report, absl::Time now);
 
 class FleetPlanner {
  public:
-  // The pointers must outlive this object. Rows of submissions are removed
-  // `retention` after their ends.
+  // The pointers must outlive this object. The rows of a submission are removed
+  // `retention` after it has ended.
   FleetPlanner(boost::asio::io_context* context,
                Store* store,
                const std::string& vm,
@@ -64,71 +74,83 @@
                Log* log,
                Metrics* metrics);
 
-  // Takes a configuration. Without one the process does not plan.
+  // Sets the configuration. The process does not plan before the first call.
   void SetPolicy(const FleetPolicy& policy);
 
-  // Claims the lease if nobody plans, and does what is due.
+  // Claims the lease if no other entry plans. While this process plans, sends
+  // pings, expires grants and queries, and plans.
   void Tick(const PlannerView& view);
 
-  // Stops planning so that another entry takes over at once.
+  // Releases the lease, so that another entry can take over at once, and stops
+  // planning. Then calls `done`.
   void Shutdown(std::function<void()> done);
 
   bool IsPlanning() const { return this->scheduler != nullptr; }
 
  private:
   struct LoadedRows;
-  // A query to the adviser that waits for an answer.
+  // A query to the adviser that is not answered yet.
   struct SentQuery {
     PermitQuery query;
+    // VM of the agent that asks the adviser.
     std::string vm;
     absl::Time sent;
     absl::Time deadline;
   };
 
-  // `failing` is set to the epoch of a planner that said that its commits fail.
-  bool ShouldClaim(const PlannerView& view, absl::Time now, uint64_t* failing);
+  // Sets `failing_epoch` to the epoch of the current planner if it reported
+  // that its commits fail, else to 0.
+  bool ShouldClaim(const PlannerView& view,
+                   absl::Time now,
+                   uint64_t* failing_epoch);
   void OnClaimed(uint64_t epoch);
   void StepDown();
   void LoadNext(const std::shared_ptr<LoadedRows>& rows);
   void OnLoaded(const LoadedRows& rows);
-  // Reads all pages of a table. `done` is not called after a change of term.
+  // Reads all pages of a table. `done` is not called once the term has changed.
   void ReadTable(const std::string& table,
                  std::function<void(RowsReply&&)> done);
   void ReadPage(const std::string& table,
                 const std::string& from,
                 std::shared_ptr<RowsReply> pages,
                 std::function<void(RowsReply&&)> done);
-  void TakeNodeRows(const std::vector<StoreRow>& rows);
+  void ApplyNodeRows(const std::vector<StoreRow>& rows);
   void FollowNodes();
-  void RepairFromFeeds(absl::Time now);
-  void RepairTable(const std::string& table);
-  void TakeSubmissionRow(const StoreRow& row);
+  // Reads submissions and cancellations whose notices were lost.
+  void ReconcileFromFeeds(absl::Time now);
+  void ReconcileTable(const std::string& table);
+  void AddSubmissionRow(const StoreRow& row);
   void AddEnded(const SubmissionRow& row, absl::Time now, absl::Time wall);
-  void RemoveOutdated(absl::Time now);
+  void RemoveExpiredSubmissions(absl::Time now);
   void OnNodeMessage(const std::string& vm, FleetMessage&& message);
-  // Puts messages off until the submissions that they name have been read.
-  bool PutOff(const std::string& vm, FleetMessage* message);
-  void ReadUnknown();
-  void TakePutOff();
-  void TakeNodeMessage(const std::string& vm, FleetMessage&& message);
+  // Defers a message until the submissions that it names have been read, and
+  // with it all later messages of that node. Returns false if that is not
+  // necessary.
+  bool DeferMessage(const std::string& vm, FleetMessage* message);
+  void ReadUnknownSubmissions();
+  void HandleDeferredMessages();
+  void HandleNodeMessage(const std::string& vm, FleetMessage&& message);
   void OnStoreRequest(const std::string& vm, const StoreRequest& request);
   void OnWorkerNotice(const std::string& vm, WorkerNotice&& notice);
   void DescribeTo(const std::string& vm);
-  void ScheduleRun();
-  void Run();
+  void SchedulePlan();
+  void PlanAndSend();
   void SendOrders(const Orders& orders);
   void SendQuery(const PermitQuery& query, absl::Time now);
   void OnPermitAnswer(const PermitAnswer& answer);
-  // Gives up the queries that `lost` accepts.
-  void FailQueries(const std::function<bool(const SentQuery&)>& lost,
+  // Fails the queries for which `should_fail` returns true.
+  void FailQueries(const std::function<bool(const SentQuery&)>& should_fail,
                    absl::Time now);
+  // Commits changed progress and final states, then confirms the ended runs.
   void Flush();
   void SendStates(const std::vector<StateChange>& changes);
-  void SendWaiting(absl::Time now);
-  absl::Duration Grant(absl::Time now) const;
-  absl::Time EarlierAuthorityEnd(bool long_grants) const;
+  void SendWaitingCounts(absl::Time now);
+  absl::Duration CurrentGrant(absl::Time now) const;
+  // Returns the latest deadline of the grants that the previous planner made.
+  absl::Time InheritedGrantDeadline(bool long_grants_made) const;
   void OnNoLongGrants();
-  bool InTrouble(absl::Time now) const;
+  // Returns true if the last successful commit was too long ago.
+  bool CommitsFailing(absl::Time now) const;
 
   boost::asio::io_context* context;
   Store* store;
@@ -139,56 +161,61 @@
   Counter& stops_total;
   Counter& ends_total;
   Counter& takeovers_total;
-  // From when a step could start to the order of each of its tasks.
+  // Time from when a step could start until the order for each of its tasks.
   Histogram& start_wait_seconds;
-  // From an end or another change until it is in the store.
+  // Time from the end of a run, or another change, until it is stored.
   Histogram& store_wait_seconds;
-  // From the claim of the lease to the first orders.
+  // Time from the claim of the lease until all tables are loaded.
   Histogram& load_seconds;
   FleetPolicy policy;
   PlannerNodes nodes;
   PlannerLease lease;
-  boost::asio::steady_timer run_timer;
-  bool run_scheduled = false;
-  // Pause before the next plan.
-  absl::Duration run_pause;
+  boost::asio::steady_timer plan_timer;
+  bool plan_scheduled = false;
+  // Delay before the next plan.
+  absl::Duration plan_pause;
   bool stopping = false;
-  // When this entry last promised to count with long grants.
-  absl::Time last_lost_report = absl::InfinitePast();
+  // PlannerView::last_unreachable_report of the last tick.
+  absl::Time last_unreachable_report = absl::InfinitePast();
   // Long grants of an earlier planner may be in force.
-  bool long_grants = true;
-  // Grows with each term, so that answers to calls of an earlier one are
-  // ignored.
+  bool long_grants_possible = true;
+  // Number of the period in which this process plans; grows with each claim and
+  // each end, so that replies to calls of an earlier period are ignored.
   uint64_t term = 0;
-  absl::Time lost_since = absl::InfinitePast();
-  // Set while this process plans.
+  // Since when the current planner has had no connection to this entry.
+  absl::Time disconnected_since = absl::InfinitePast();
+  // Not null while this process plans.
   std::unique_ptr<Scheduler> scheduler;
+  // Version up to which each table was read; 0 to read the whole table again.
   std::map<std::string, int64_t> feed_versions;
-  std::set<std::string> feeds_running;
-  absl::Time next_repair = absl::InfinitePast();
-  absl::Time next_waiting = absl::InfinitePast();
+  // Tables that ReconcileTable() is reading.
+  std::set<std::string> feeds_in_progress;
+  absl::Time next_reconcile = absl::InfinitePast();
+  absl::Time next_waiting_notice = absl::InfinitePast();
   absl::Time next_removal = absl::InfinitePast();
-  // Progress of submissions whose end is stored, to be removed with the next
-  // commit.
+  // Progress rows of submissions whose final state is stored, to be removed
+  // with the next commit.
   std::vector<StoreRemove> stale_progress;
-  // Starts that were sent on a connection and may be on their way, by VM.
-  struct SentRun {
+  // Starts that were sent on a connection and may be in transit, by VM.
+  struct SentStart {
+    // StartRuns::number of the message.
     uint64_t number = 0;
     TaskRef task;
     uint32_t run = 0;
   };
-  struct SentRuns {
+  struct SentStarts {
     uint64_t last_number = 0;
-    std::deque<SentRun> runs;
+    std::deque<SentStart> runs;
   };
-  std::map<std::string, SentRuns> sent;
-  // Messages that wait for the table of submissions, in order, by VM.
-  std::map<std::string, std::vector<FleetMessage>> put_off;
-  bool reading_unknown = false;
-  uint64_t next_query = 1;
+  std::map<std::string, SentStarts> sent_starts;
+  // Messages that are deferred until new submissions are read, in order, by VM.
+  std::map<std::string, std::vector<FleetMessage>> deferred;
+  bool reading_submissions = false;
+  uint64_t next_query_number = 1;
   std::map<uint64_t, SentQuery> queries;
-  // Ends to confirm by VM: the runner's life and the number.
-  std::map<std::string, std::pair<int64_t, uint64_t>> to_confirm;
+  // Ended runs to confirm after the next commit, by VM: RunnerInfo::born_ms of
+  // the runner's incarnation and the number of the last run.
+  std::map<std::string, std::pair<int64_t, uint64_t>> ends_to_confirm;
 };
 
 }  // namespace cuminjunction
--- a/daemon/fleet_planner_load.cc
+++ b/daemon/fleet_planner_load.cc
@@ -1,5 +1,5 @@
-// What a planner reads from the store: the tables at its start, and what its
-// connections may have lost.
+// A planner's reads of the store: the tables when it starts to plan, and later
+// the rows whose notices were lost with a connection.
 
 #include <algorithm>
 #include <chrono>
@@ -13,28 +13,29 @@
 
 namespace {
 
-// How often the tables are read for what a connection lost.
-constexpr absl::Duration kRepairInterval = absl::Milliseconds(1500);
+// Interval of the reads for rows whose notice was lost with a connection.
+constexpr absl::Duration kReconcileInterval = absl::Milliseconds(1500);
 
-// Rows of submissions that ended long ago are removed for this many at once:
-// three rows each fit into one transaction.
-constexpr size_t kMostRemovals = 30;
+// Number of submissions whose rows are removed at once: the three rows of each
+// fit into one transaction.
+constexpr size_t kMaxRemovals = 30;
 
-// Pause between removals, unless there are more: the largest site ends 16
-// submissions a second.
+// Interval of removals, unless there are more to remove: on the largest site 16
+// submissions end in a second.
 constexpr absl::Duration kRemovalInterval = absl::Seconds(1);
 
 constexpr absl::Duration kReadTimeout = absl::Seconds(2);
 constexpr absl::Duration kNodeFeedWait = absl::Seconds(8);
-constexpr std::chrono::milliseconds kRetryPause(100);
+constexpr std::chrono::milliseconds kRetryDelay(100);
 
 }  // namespace
 
-// The tables that a new planner reads, from the last to the first.
+// The rows that a new planner has loaded so far.
 struct FleetPlanner::LoadedRows {
   uint64_t term = 0;
-  std::vector<std::string> left = {kSubmissionTable, kProgressTable,
-                                   kCancellationTable, kNodeTable};
+  // Tables that are still to be read, from the last to the first.
+  std::vector<std::string> remaining_tables = {kSubmissionTable, kProgressTable,
+                                               kCancellationTable, kNodeTable};
   std::map<std::string, std::vector<StoreRow>> rows;
   absl::Time started;
 };
@@ -45,30 +46,30 @@
   auto rows = std::make_shared<LoadedRows>();
   rows->term = this->term;
   rows->started = BootClock().Now();
-  this->nodes.Begin(epoch);
+  this->nodes.Start(epoch);
   this->feed_versions.clear();
   this->LoadNext(rows);
 }
 
 void FleetPlanner::LoadNext(const std::shared_ptr<LoadedRows>& rows) {
-  if (rows->left.empty()) {
+  if (rows->remaining_tables.empty()) {
     this->OnLoaded(*rows);
     return;
   }
-  const std::string table = rows->left.back();
+  const std::string table = rows->remaining_tables.back();
   this->ReadTable(table, [this, table, rows](RowsReply&& reply) {
     if (!reply.error) {
       this->feed_versions[table] = reply.version;
       rows->rows[table] = std::move(reply.rows);
-      rows->left.pop_back();
+      rows->remaining_tables.pop_back();
       this->LoadNext(rows);
       return;
     }
     this->log->Write(LogLine("load_failed", LogLevel::kWarning)
                          .Add("table", table)
                          .Add("error", reply.error));
-    this->run_timer.expires_after(kRetryPause);
-    this->run_timer.async_wait([this, rows](std::error_code error) {
+    this->plan_timer.expires_after(kRetryDelay);
+    this->plan_timer.async_wait([this, rows](std::error_code error) {
       if (!error && rows->term == this->term)
         this->LoadNext(rows);
     });
@@ -90,14 +91,14 @@
        done = std::move(done)](RowsReply&& reply) {
         if (term != this->term)
           return;
-        // The feed goes on from the first page, which is the oldest.
+        // The feed continues from the version of the first page, the oldest.
         if (from.empty())
           pages->version = reply.version;
         std::move(reply.rows.begin(), reply.rows.end(),
                   std::back_inserter(pages->rows));
         pages->error = reply.error;
         if (!reply.error && reply.more && !pages->rows.empty()) {
-          // The least key after the last one.
+          // The smallest key after the last one read.
           const std::string next = pages->rows.back().key + '\0';
           this->ReadPage(table, next, pages, done);
           return;
@@ -113,19 +114,19 @@
   this->scheduler->SetPolicy(this->policy);
   std::map<std::string, Progress> progress;
   size_t damaged = 0;
-  const auto find = [&](const char* table) -> const std::vector<StoreRow>& {
+  const auto rows_of = [&](const char* table) -> const std::vector<StoreRow>& {
     static const std::vector<StoreRow> none;
     const auto found = rows.rows.find(table);
     return found == rows.rows.end() ? none : found->second;
   };
-  for (const StoreRow& row : find(kProgressTable)) {
+  for (const StoreRow& row : rows_of(kProgressTable)) {
     auto decoded = Decode<Progress>(row.value);
     if (decoded)
       progress[row.key] = std::move(decoded.value());
     else
       ++damaged;
   }
-  for (const StoreRow& row : find(kSubmissionTable)) {
+  for (const StoreRow& row : rows_of(kSubmissionTable)) {
     const auto stored = Decode<SubmissionRow>(row.value);
     if (!stored) {
       ++damaged;
@@ -136,44 +137,45 @@
       this->AddEnded(stored.value(), now, wall);
       continue;
     }
-    const auto known = progress.find(row.key);
-    std::optional<Progress> kept;
-    if (known != progress.end())
-      kept = known->second;
-    this->scheduler->Add(submission, kept, UncertainSince(this->lease.Epoch()),
-                         now, wall);
+    const auto found_progress = progress.find(row.key);
+    std::optional<Progress> stored_progress;
+    if (found_progress != progress.end())
+      stored_progress = found_progress->second;
+    this->scheduler->Add(submission, stored_progress,
+                         UncertainSince(this->lease.Epoch()), now, wall);
   }
-  for (const StoreRow& row : find(kCancellationTable))
+  for (const StoreRow& row : rows_of(kCancellationTable))
     this->scheduler->Cancel(row.key);
-  this->long_grants = !RulesOutLongGrants(this->last_lost_report, now);
-  for (const StoreRow& row : find(kNodeTable)) {
+  this->long_grants_possible =
+      !RulesOutLongGrants(this->last_unreachable_report, now);
+  for (const StoreRow& row : rows_of(kNodeTable)) {
     const auto node = Decode<NodeRow>(row.value);
     if (!node) {
       ++damaged;
       continue;
     }
-    if (node.value().agent && this->lease.Epoch() > 1)
+    if (node.value().is_agent && this->lease.Epoch() > 1)
       this->scheduler->ExpectWorker(
-          row.key, this->EarlierAuthorityEnd(this->long_grants));
+          row.key, this->InheritedGrantDeadline(this->long_grants_possible));
     this->nodes.Add(row.key, node.value());
   }
   this->log->Write(
       LogLine("planner_started")
           .Add("epoch", this->lease.Epoch())
-          .Add("submissions", find(kSubmissionTable).size())
+          .Add("submissions", rows_of(kSubmissionTable).size())
           .Add("live", this->scheduler->LiveCount())
           .Add("workers_to_hear", this->scheduler->UnresolvedCount())
           .Add("damaged_rows", damaged)
           .Add("load_ms", absl::ToDoubleMilliseconds(now - rows.started)));
   this->load_seconds.Observe(now - rows.started);
-  this->next_repair = now + kRepairInterval;
-  this->next_waiting = absl::InfinitePast();
+  this->next_reconcile = now + kReconcileInterval;
+  this->next_waiting_notice = absl::InfinitePast();
   this->next_removal = now + kRemovalInterval;
   this->FollowNodes();
-  this->ScheduleRun();
+  this->SchedulePlan();
 }
 
-void FleetPlanner::TakeNodeRows(const std::vector<StoreRow>& rows) {
+void FleetPlanner::ApplyNodeRows(const std::vector<StoreRow>& rows) {
   for (const StoreRow& row : rows) {
     const auto node = Decode<NodeRow>(row.value);
     if (row.deleted)
@@ -194,18 +196,18 @@
         if (term != this->term)
           return;
         if (reply.error == PlatformError::kHistoryGone) {
-          // Rows that changed meanwhile are told again by a whole read.
+          // The feed no longer has all changes, so the whole table is read.
           this->ReadTable(kNodeTable, [this](RowsReply&& whole) {
             if (!whole.error)
               this->feed_versions[kNodeTable] = whole.version;
-            this->TakeNodeRows(whole.rows);
+            this->ApplyNodeRows(whole.rows);
             this->FollowNodes();
           });
           return;
         }
         if (!reply.error) {
           this->feed_versions[kNodeTable] = reply.version;
-          this->TakeNodeRows(reply.rows);
+          this->ApplyNodeRows(reply.rows);
           this->FollowNodes();
           return;
         }
@@ -218,23 +220,23 @@
       });
 }
 
-void FleetPlanner::RepairFromFeeds(absl::Time now) {
-  if (now < this->next_repair)
+void FleetPlanner::ReconcileFromFeeds(absl::Time now) {
+  if (now < this->next_reconcile)
     return;
-  this->next_repair = now + kRepairInterval;
-  this->RepairTable(kSubmissionTable);
-  this->RepairTable(kCancellationTable);
+  this->next_reconcile = now + kReconcileInterval;
+  this->ReconcileTable(kSubmissionTable);
+  this->ReconcileTable(kCancellationTable);
 }
 
-void FleetPlanner::RepairTable(const std::string& table) {
-  if (!this->feeds_running.insert(table).second)
+void FleetPlanner::ReconcileTable(const std::string& table) {
+  if (!this->feeds_in_progress.insert(table).second)
     return;
-  const auto take = [this, table, term = this->term](RowsReply&& reply) {
+  const auto on_reply = [this, table, term = this->term](RowsReply&& reply) {
     if (term != this->term)
       return;
-    this->feeds_running.erase(table);
+    this->feeds_in_progress.erase(table);
     if (reply.error == PlatformError::kHistoryGone) {
-      // Version 0 makes the next repair read the whole table.
+      // With version 0 the next call of ReconcileTable() reads the whole table.
       this->feed_versions[table] = 0;
       return;
     }
@@ -247,19 +249,19 @@
       if (table == kCancellationTable)
         this->scheduler->Cancel(row.key);
       else
-        this->TakeSubmissionRow(row);
+        this->AddSubmissionRow(row);
     }
     if (!reply.rows.empty())
-      this->ScheduleRun();
+      this->SchedulePlan();
   };
   if (this->feed_versions[table] == 0)
-    this->ReadTable(table, take);
+    this->ReadTable(table, on_reply);
   else
     this->store->Feed(table, this->feed_versions[table], absl::Milliseconds(1),
-                      take);
+                      on_reply);
 }
 
-void FleetPlanner::TakeSubmissionRow(const StoreRow& row) {
+void FleetPlanner::AddSubmissionRow(const StoreRow& row) {
   if (row.deleted || this->scheduler->Knows(row.key))
     return;
   const auto stored = Decode<SubmissionRow>(row.value);
@@ -274,8 +276,8 @@
     this->AddEnded(stored.value(), now, absl::Now());
     return;
   }
-  // Its entry may have told an earlier planner that still reaches a worker
-  // which this one does not.
+  // The entry may have announced the submission to an earlier planner, which
+  // may still reach a worker that this one does not reach.
   this->scheduler->Add(stored.value().submission, std::nullopt,
                        UncertainSince(this->lease.Epoch()), now, absl::Now());
 }
@@ -288,12 +290,12 @@
                             std::min(now, now - (wall - ended)));
 }
 
-void FleetPlanner::RemoveOutdated(absl::Time now) {
+void FleetPlanner::RemoveExpiredSubmissions(absl::Time now) {
   if (now < this->next_removal)
     return;
   auto ids =
-      this->scheduler->TakeEndedBefore(now - this->retention, kMostRemovals);
-  if (ids.size() < kMostRemovals)
+      this->scheduler->TakeEndedBefore(now - this->retention, kMaxRemovals);
+  if (ids.size() < kMaxRemovals)
     this->next_removal = now + kRemovalInterval;
   if (ids.empty())
     return;
@@ -312,17 +314,17 @@
   });
 }
 
-void FleetPlanner::ReadUnknown() {
-  if (std::exchange(this->reading_unknown, true))
+void FleetPlanner::ReadUnknownSubmissions() {
+  if (std::exchange(this->reading_submissions, true))
     return;
-  const auto take = [this, term = this->term](RowsReply&& reply) {
+  const auto on_reply = [this, term = this->term](RowsReply&& reply) {
     if (term != this->term)
       return;
-    this->reading_unknown = false;
+    this->reading_submissions = false;
     for (const StoreRow& row : reply.rows)
-      this->TakeSubmissionRow(row);
+      this->AddSubmissionRow(row);
     if (!reply.error) {
-      this->TakePutOff();
+      this->HandleDeferredMessages();
       return;
     }
     if (reply.error == PlatformError::kHistoryGone)
@@ -331,14 +333,15 @@
         *this->context, std::chrono::milliseconds(50));
     pause->async_wait([this, term, pause](std::error_code error) {
       if (!error && term == this->term)
-        this->ReadUnknown();
+        this->ReadUnknownSubmissions();
     });
   };
   const int64_t version = this->feed_versions[kSubmissionTable];
   if (version == 0)
-    this->ReadTable(kSubmissionTable, take);
+    this->ReadTable(kSubmissionTable, on_reply);
   else
-    this->store->Feed(kSubmissionTable, version, absl::Milliseconds(1), take);
+    this->store->Feed(kSubmissionTable, version, absl::Milliseconds(1),
+                      on_reply);
 }
 
 }  // namespace cuminjunction
--- a/daemon/fleet_planner_permits.cc
+++ b/daemon/fleet_planner_permits.cc
@@ -1,4 +1,4 @@
-// How a planner has agents ask the platform's adviser.
+// Queries to the platform's adviser, which the planner sends through agents.
 
 #include <algorithm>
 
@@ -9,40 +9,41 @@
 
 namespace {
 
-// Time for an answer beyond what the adviser needs for the call itself: the way
-// to another region and back (24 ms), and other calls of the same VM before it.
+// Time for an answer beyond the adviser's own time for the calls: the round
+// trip to another region (24 ms) and the wait for other calls of the same VM.
 constexpr absl::Duration kAnswerSlack = absl::Seconds(2);
 
 }  // namespace
 
 void FleetPlanner::SendQuery(const PermitQuery& query, absl::Time now) {
-  // The agent with the fewest calls under way.
-  std::map<std::string, int> busy;
+  // Selects the agent with the fewest calls under way.
+  std::map<std::string, int> calls_by_agent;
   for (const std::string& node : this->nodes.ConnectedAgents())
-    busy[node] = 0;
+    calls_by_agent[node] = 0;
   for (const auto& [number, sent_query] : this->queries) {
-    const auto found = busy.find(sent_query.vm);
-    if (found != busy.end())
+    const auto found = calls_by_agent.find(sent_query.vm);
+    if (found != calls_by_agent.end())
       ++found->second;
   }
-  const auto best = std::min_element(
-      busy.begin(), busy.end(),
+  const auto least_busy = std::min_element(
+      calls_by_agent.begin(), calls_by_agent.end(),
       [](const auto& a, const auto& b) { return a.second < b.second; });
-  if (best == busy.end()) {
+  if (least_busy == calls_by_agent.end()) {
     this->scheduler->OnPermitsFailed(query, now);
     return;
   }
   const absl::Duration timeout =
-      this->scheduler->AdviceTime(query) * (best->second + 1) + kAnswerSlack;
-  const uint64_t number = this->next_query++;
-  this->queries[number] = {query, best->first, now, now + timeout};
+      this->scheduler->AdviceTime(query) * (least_busy->second + 1) +
+      kAnswerSlack;
+  const uint64_t number = this->next_query_number++;
+  this->queries[number] = {query, least_busy->first, now, now + timeout};
   this->log->Write(LogLine("permits_asked")
                        .Add("submission", query.step.submission)
                        .Add("step", static_cast<uint64_t>(query.step.step))
                        .Add("runners", query.runners.size())
-                       .Add("vm", best->first));
+                       .Add("vm", least_busy->first));
   this->nodes.Send(
-      best->first,
+      least_busy->first,
       PermitRequest{this->lease.Epoch(), number, query.step, query.runners,
                     absl::ToInt64Milliseconds(timeout)});
 }
@@ -59,8 +60,8 @@
                        .Add("answered", answer.answered)
                        .Add("granted", answer.granted.size())
                        .Add("valid_ms", answer.valid_ms));
-  // Counted from the question on, since the time of the answer at the adviser
-  // is not known.
+  // The validity counts from the time at which the query was sent, since the
+  // time at which the adviser answered is not known.
   if (answer.answered)
     this->scheduler->OnPermits(
         sent_query.query, answer.granted,
@@ -70,10 +71,10 @@
 }
 
 void FleetPlanner::FailQueries(
-    const std::function<bool(const SentQuery&)>& lost,
+    const std::function<bool(const SentQuery&)>& should_fail,
     absl::Time now) {
   for (auto entry = this->queries.begin(); entry != this->queries.end();) {
-    if (!lost(entry->second)) {
+    if (!should_fail(entry->second)) {
       ++entry;
       continue;
     }
--- a/daemon/incarnation.h
+++ b/daemon/incarnation.h
@@ -1,7 +1,7 @@
 #ifndef DAEMON_INCARNATION_H_
 #define DAEMON_INCARNATION_H_
 
-// Identity of one run of a process.
+// Identity and site of one incarnation of a process.
 
 #include <cstdint>
 #include <string>
@@ -10,15 +10,16 @@
 
 namespace cuminjunction {
 
-// Milliseconds since the Unix epoch at the start of the process: grows with
-// each start on one VM.
+// Returns the current time in milliseconds since the Unix epoch. Called once at
+// the start of a process, it grows with each incarnation on one VM.
 uint64_t MakeIncarnation();
 
-// A name that no other run of any process has.
+// Returns the process's name from `settings` with its incarnation, which is
+// unique among all incarnations of all processes.
 std::string UniqueProcessName(const Settings& settings, uint64_t incarnation);
 
-// Distance between two places: 0 in the same failure domain, 1 in the same
-// region, 2 in different regions.
+// Returns the network distance from this process (`here`) to a location: 0 in
+// the same failure domain, 1 in the same region, 2 in another region.
 int DistanceBetween(const Settings& here,
                     const std::string& failure_domain,
                     const std::string& region);
--- a/daemon/node_row.cc
+++ b/daemon/node_row.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr absl::Duration kCallTimeout = absl::Seconds(1);
-constexpr std::chrono::milliseconds kRetryPause(300);
+constexpr std::chrono::milliseconds kRetryDelay(300);
 
 }  // namespace
 
@@ -23,14 +23,14 @@
       {.expects = {}, .puts = {{kNodeTable, this->vm, Encode(this->row)}}},
       kCallTimeout, [this](CommitReply&& reply) {
         if (!reply.error) {
-          this->done = true;
+          this->registered = true;
           this->log->Write(
               LogLine("node_registered").Add("version", reply.version));
           return;
         }
         this->log->Write(LogLine("node_registration_failed", LogLevel::kWarning)
                              .Add("error", reply.error));
-        this->timer.expires_after(kRetryPause);
+        this->timer.expires_after(kRetryDelay);
         this->timer.async_wait([this](std::error_code error) {
           if (!error)
             this->Start();
--- a/daemon/node_row.h
+++ b/daemon/node_row.h
@@ -1,10 +1,10 @@
 #ifndef DAEMON_NODE_ROW_H_
 #define DAEMON_NODE_ROW_H_
 
-// The row by which a process tells planners where it is.
+// The row in the store by which planners find the address of a process.
 //
 //   NodeRegistration registration(&context, &store, row, "erie-a-1", &log);
-//   registration.Start();   // repeats until the row is stored
+//   registration.Start();   // retries until the row is stored
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -17,26 +17,28 @@
 
 namespace cuminjunction {
 
-// Tables of the system, beside the planner's lease.
+// Names of the tables, except that of the planner's lease.
 inline constexpr char kNodeTable[] = "node";
 inline constexpr char kSubmissionTable[] = "submission";
 inline constexpr char kCancellationTable[] = "cancellation";
 inline constexpr char kProgressTable[] = "progress";
 
-// The part that holds all rows of the system.
+// Part of the store (StoreOptions::part) that holds all rows of the system.
 inline constexpr char kFleetPart[] = "fleet";
 
 struct NodeRow {
+  // Address on which the process accepts connections of planners.
   Endpoint address;
-  // It watches a runner; else it is an entry.
-  bool agent = false;
+  // True for an agent, which supervises a runner; false for an entry.
+  bool is_agent = false;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->address, this->agent);
+    archive(this->address, this->is_agent);
   }
 };
 
+// Writes the row of this process to the store.
 class NodeRegistration {
  public:
   // `context`, `store` and `log` must outlive this object.
@@ -46,10 +48,11 @@
                    const std::string& vm,
                    Log* log);
 
+  // Starts to write the row; a failed write is retried.
   void Start();
 
   // True once the row is stored.
-  bool IsDone() const { return this->done; }
+  bool IsRegistered() const { return this->registered; }
 
  private:
   Store* store;
@@ -57,7 +60,7 @@
   std::string vm;
   Log* log;
   boost::asio::steady_timer timer;
-  bool done = false;
+  bool registered = false;
 };
 
 }  // namespace cuminjunction
--- a/daemon/planner_lease.cc
+++ b/daemon/planner_lease.cc
@@ -11,27 +11,27 @@
 constexpr char kLeaseTable[] = "lease";
 constexpr char kLeaseKey[] = "planner";
 
-// Limit for one call; a slow store answers in 240 ms (60 times 4 ms).
+// Timeout of one call. A slow store answers in 240 ms (60 times 4 ms).
 constexpr absl::Duration kCallTimeout = absl::Milliseconds(500);
 
-// A lease row that has not changed for this long has no living holder: the
+// A lease row that has not changed for this long has no running holder: a
 // holder renews it every kRenewInterval.
-constexpr absl::Duration kStandStill = absl::Milliseconds(1100);
+constexpr absl::Duration kStaleAfter = absl::Milliseconds(1100);
 constexpr absl::Duration kRenewInterval = absl::Milliseconds(500);
 
-// Commits are at least this far apart, so that the ends of a busy moment share
-// one: a call costs as much as 25 KB of rows.
+// Minimum time between two commits, so that runs that end at nearly the same
+// time share a commit: a call costs as much as 25 KB of rows.
 constexpr absl::Duration kCommitInterval = absl::Milliseconds(15);
 
-constexpr std::chrono::milliseconds kRetryPause(60);
+constexpr std::chrono::milliseconds kRetryDelay(60);
 
-// A read that takes longer shows a slow store: an answer takes 4 ms, and the
-// way to another region and back 24 ms.
-constexpr absl::Duration kSlowRead = absl::Milliseconds(120);
+// A read that takes longer than this shows that the store is slow: it answers
+// in 4 ms, and the round trip to another region takes 24 ms.
+constexpr absl::Duration kSlowReadThreshold = absl::Milliseconds(120);
 
-// Rows in a commit beside the lease row; the platform takes 100 entries, and
-// the lease row counts twice.
-constexpr size_t kMaxRows = 90;
+// Limit of the rows in a commit beside the lease row. The platform accepts 100
+// entries, and the lease row counts twice: as a put and as an expectation.
+constexpr size_t kMaxRowsPerCommit = 90;
 
 }  // namespace
 
@@ -46,22 +46,22 @@
       handlers(std::move(handlers)),
       timer(*context) {}
 
-void PlannerLease::Claim(uint64_t failing) {
+void PlannerLease::Claim(uint64_t failing_epoch) {
   if (this->held || this->claiming)
     return;
   this->claiming = true;
-  const absl::Time asked = BootClock().Now();
-  this->store->ReadOne(kLeaseTable, kLeaseKey, kCallTimeout,
-                       [this, failing, asked](RowsReply&& reply) {
-                         // A store that is slow for this process as well would
-                         // be no better served by another planner.
-                         const bool slow =
-                             BootClock().Now() - asked > kSlowRead;
-                         this->OnRead(std::move(reply), slow ? 0 : failing);
-                       });
+  const absl::Time read_start = BootClock().Now();
+  this->store->ReadOne(
+      kLeaseTable, kLeaseKey, kCallTimeout,
+      [this, failing_epoch, read_start](RowsReply&& reply) {
+        // If the store is slow for this process as well, replacing the planner
+        // does not help.
+        const bool slow = BootClock().Now() - read_start > kSlowReadThreshold;
+        this->OnRead(std::move(reply), slow ? 0 : failing_epoch);
+      });
 }
 
-void PlannerLease::OnRead(RowsReply&& reply, uint64_t failing) {
+void PlannerLease::OnRead(RowsReply&& reply, uint64_t failing_epoch) {
   if (reply.error) {
     this->claiming = false;
     this->observed.reset();
@@ -77,25 +77,26 @@
     if (decoded) {
       current = std::move(decoded.value());
     } else {
-      // A row that can't be read holds no lease; its epoch is unknown, so the
-      // version, which only grows, takes its place.
+      // A row that can't be decoded counts as a lease without a holder. Its
+      // epoch is unknown, and the row's version replaces it, as it only grows.
       current.epoch = static_cast<uint64_t>(found.version);
       this->log->Write(LogLine("lease_row_damaged", LogLevel::kError)
                            .Add("error", decoded.error()));
     }
-    this->predecessor_end =
+    this->predecessor_last_commit =
         this->observed && this->observed->version == found.version
-            ? this->observed->since
+            ? this->observed->first_seen
             : now;
-    const bool still = this->observed &&
+    const bool stale = this->observed &&
                        this->observed->version == found.version &&
-                       now - this->observed->since >= kStandStill;
-    // The earlier process of this VM has ended, or this process has forgotten a
-    // claim whose reply was lost.
-    const bool own = current.holder == this->holder;
-    // Another entry may have replaced the planner that fails.
-    const bool fails = failing != 0 && current.epoch == failing;
-    if (!fails && !still && !own && !current.released) {
+                       now - this->observed->first_seen >= kStaleAfter;
+    // The holder is an earlier process of this VM, which has ended, or this
+    // process itself by a claim whose reply was lost.
+    const bool is_own_row = current.holder == this->holder;
+    // False if another entry has already replaced the failing planner.
+    const bool holder_fails =
+        failing_epoch != 0 && current.epoch == failing_epoch;
+    if (!holder_fails && !stale && !is_own_row && !current.released) {
       if (!this->observed || this->observed->version != found.version)
         this->observed = Observation{found.version, now};
       this->claiming = false;
@@ -114,14 +115,14 @@
   this->store->Commit(claim, kCallTimeout, [this, sent](CommitReply&& reply) {
     this->claiming = false;
     this->observed.reset();
-    int64_t held_version = reply.version;
+    int64_t lease_version = reply.version;
     if (reply.error == PlatformError::kConflict) {
-      // An earlier try of this process may have been carried out late.
-      const auto found = this->FindLease(reply.rows);
+      // An earlier claim of this process may have been carried out late.
+      const auto found = this->FindLeaseRow(reply.rows);
       if (!found || found->first.epoch != this->row.epoch ||
           found->first.holder != this->holder)
         return;
-      held_version = found->second;
+      lease_version = found->second;
     } else if (reply.error) {
       this->log->Write(LogLine("lease_claim_failed", LogLevel::kWarning)
                            .Add("epoch", this->row.epoch)
@@ -129,8 +130,8 @@
       return;
     }
     this->held = true;
-    this->version = held_version;
-    this->last_success = sent;
+    this->version = lease_version;
+    this->last_commit_time = sent;
     this->last_sent = sent;
     this->log->Write(LogLine("lease_claimed").Add("epoch", this->row.epoch));
     this->handlers.on_claimed(this->row.epoch);
@@ -151,14 +152,14 @@
     this->queued[{put.table, put.key}] = std::move(put.value);
   for (const StoreRemove& remove : removes)
     this->queued[{remove.table, remove.key}] = std::nullopt;
-  this->queued_done.push_back(std::move(done));
-  this->Kick();
+  this->queued_callbacks.push_back(std::move(done));
+  this->ScheduleCommit();
 }
 
 void PlannerLease::Renew() {
   if (this->held && !this->in_flight && this->queued.empty() &&
       BootClock().Now() - this->last_sent >= kRenewInterval)
-    this->Send();
+    this->SendCommit();
 }
 
 void PlannerLease::Release(std::function<void()> done) {
@@ -167,46 +168,47 @@
     return;
   }
   this->releasing = true;
-  this->released = std::move(done);
-  this->Kick();
+  this->on_released = std::move(done);
+  this->ScheduleCommit();
 }
 
 void PlannerLease::Drop() {
   this->held = false;
   this->in_flight = false;
   this->queued.clear();
-  this->queued_done.clear();
-  this->commit_done.clear();
+  this->queued_callbacks.clear();
+  this->commit_callbacks.clear();
   this->timer.cancel();
-  if (this->released)
-    std::exchange(this->released, nullptr)();
+  if (this->on_released)
+    std::exchange(this->on_released, nullptr)();
 }
 
-void PlannerLease::Kick() {
-  if (!this->held || this->in_flight || this->kick_pending)
+void PlannerLease::ScheduleCommit() {
+  if (!this->held || this->in_flight || this->commit_scheduled)
     return;
-  const absl::Duration since = BootClock().Now() - this->last_sent;
-  if (since >= kCommitInterval) {
-    this->Send();
+  const absl::Duration elapsed = BootClock().Now() - this->last_sent;
+  if (elapsed >= kCommitInterval) {
+    this->SendCommit();
     return;
   }
-  this->kick_pending = true;
+  this->commit_scheduled = true;
   this->timer.expires_after(
-      absl::ToChronoMicroseconds(kCommitInterval - since));
+      absl::ToChronoMicroseconds(kCommitInterval - elapsed));
   this->timer.async_wait([this](std::error_code error) {
-    this->kick_pending = false;
+    this->commit_scheduled = false;
     if (!error && this->held && !this->in_flight)
-      this->Send();
+      this->SendCommit();
   });
 }
 
-void PlannerLease::Send() {
+void PlannerLease::SendCommit() {
   this->in_flight = true;
   ++this->row.sequence;
   this->commit = {};
   auto next = this->queued.begin();
   while (next != this->queued.end() &&
-         this->commit.puts.size() + this->commit.removes.size() < kMaxRows) {
+         this->commit.puts.size() + this->commit.removes.size() <
+             kMaxRowsPerCommit) {
     const auto& [table, key] = next->first;
     if (next->second)
       this->commit.puts.push_back({table, key, std::move(*next->second)});
@@ -214,32 +216,33 @@
       this->commit.removes.push_back({table, key});
     next = this->queued.erase(next);
   }
-  // With rows left over, the callbacks wait for the last of them.
-  this->commit_done.clear();
+  // If rows remain in the queue, the callbacks wait for the commit of the last
+  // one.
+  this->commit_callbacks.clear();
   if (this->queued.empty())
-    this->commit_done.swap(this->queued_done);
+    this->commit_callbacks.swap(this->queued_callbacks);
   this->row.released = this->releasing && this->queued.empty();
   this->commit.expects = {{kLeaseTable, kLeaseKey, this->version}};
   this->commit.puts.push_back({kLeaseTable, kLeaseKey, Encode(this->row)});
   this->last_sent = BootClock().Now();
   this->store->Commit(this->commit, kCallTimeout,
                       [this, sent = this->last_sent](CommitReply&& reply) {
-                        this->OnCommit(std::move(reply), sent);
+                        this->OnCommitReply(std::move(reply), sent);
                       });
 }
 
-void PlannerLease::OnCommit(CommitReply&& reply, absl::Time sent) {
+void PlannerLease::OnCommitReply(CommitReply&& reply, absl::Time sent) {
   if (!this->held)
     return;
   if (!reply.error) {
-    this->Succeed(reply.version, sent);
+    this->OnCommitted(reply.version, sent);
     return;
   }
   if (reply.error == PlatformError::kConflict) {
-    const auto found = this->FindLease(reply.rows);
+    const auto found = this->FindLeaseRow(reply.rows);
     if (found && found->first.epoch == this->row.epoch &&
         found->first.sequence == this->row.sequence) {
-      this->Succeed(found->second, sent);
+      this->OnCommitted(found->second, sent);
       return;
     }
     if (found) {
@@ -248,7 +251,7 @@
                            .Add("holder", found->first.holder)
                            .Add("holder_epoch", found->first.epoch));
       this->Drop();
-      this->handlers.on_deposed();
+      this->handlers.on_lease_lost();
       return;
     }
   }
@@ -256,40 +259,42 @@
                        .Add("epoch", this->row.epoch)
                        .Add("sequence", this->row.sequence)
                        .Add("error", reply.error));
-  this->RetryLater();
+  this->ScheduleRetry();
 }
 
-void PlannerLease::RetryLater() {
-  this->timer.expires_after(kRetryPause);
+void PlannerLease::ScheduleRetry() {
+  this->timer.expires_after(kRetryDelay);
   this->timer.async_wait([this](std::error_code error) {
     if (error || !this->held)
       return;
-    // The same commit: a second copy can't be carried out twice.
+    // Sends the commit unchanged: since it expects the row's old version, at
+    // most one copy is carried out.
     const absl::Time sent = BootClock().Now();
     this->store->Commit(this->commit, kCallTimeout,
                         [this, sent](CommitReply&& reply) {
-                          this->OnCommit(std::move(reply), sent);
+                          this->OnCommitReply(std::move(reply), sent);
                         });
   });
 }
 
-void PlannerLease::Succeed(int64_t committed, absl::Time sent) {
+void PlannerLease::OnCommitted(int64_t committed_version, absl::Time sent) {
   this->in_flight = false;
-  this->version = committed;
-  this->last_success = sent;
+  this->version = committed_version;
+  this->last_commit_time = sent;
   std::vector<std::function<void()>> done;
-  done.swap(this->commit_done);
+  done.swap(this->commit_callbacks);
   if (this->row.released) {
     this->Drop();
     return;
   }
   for (const auto& callback : done)
     callback();
-  if (!this->queued.empty() || !this->queued_done.empty() || this->releasing)
-    this->Kick();
+  if (!this->queued.empty() || !this->queued_callbacks.empty() ||
+      this->releasing)
+    this->ScheduleCommit();
 }
 
-std::optional<std::pair<LeaseRow, int64_t>> PlannerLease::FindLease(
+std::optional<std::pair<LeaseRow, int64_t>> PlannerLease::FindLeaseRow(
     const std::vector<StoreRow>& rows) const {
   for (const StoreRow& found : rows) {
     if (found.table != kLeaseTable || found.key != kLeaseKey)
--- a/daemon/planner_lease.h
+++ b/daemon/planner_lease.h
@@ -1,17 +1,18 @@
 #ifndef DAEMON_PLANNER_LEASE_H_
 #define DAEMON_PLANNER_LEASE_H_
 
-// The planner's lease and its commits.
+// The planner's lease, and the planner's commits to the store under it.
 //
 //   PlannerLease lease(&context, &store, "erie-a-1", &log, handlers);
-//   lease.Claim(/*failing=*/0);           // on_claimed when it is held
-//   lease.Write(puts, [] { ... });        // when they are in the store
+//   lease.Claim(/*failing_epoch=*/0);     // calls on_claimed when it is held
+//   lease.Write(puts, [] { ... });        // called when the rows are stored
 //
 // Every commit writes the lease row with the next sequence number and expects
-// the version of the commit before, so that the commits of one planner are one
-// chain and a planner that was replaced can't write. A commit whose reply was
-// lost is sent again as it is: the conflict that it may meet shows the lease
-// row, and its sequence number tells whether the first one was carried out.
+// the version of the previous commit. The commits of one planner are thus a
+// single chain, and a planner that was replaced can't write. A commit whose
+// reply was lost is sent again unchanged. If the first copy was carried out,
+// the second one fails with a conflict that returns the lease row, whose
+// sequence number is then that of the commit.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -35,7 +36,7 @@
   uint64_t epoch = 0;
   std::string holder;
   uint64_t sequence = 0;
-  // The holder has stopped; another may take over at once.
+  // The holder has released the lease; another process may claim it at once.
   bool released = false;
 
   template <class Archive>
@@ -44,15 +45,16 @@
   }
 };
 
-// How long after a commit was sent its planner may grant workers authority. The
-// platform's `leaseMs` is 3 s on each site.
+// Validity of the lease from the time at which its last successful commit was
+// sent. Within it the planner may grant agents time to keep their runners
+// running. The platform's `leaseMs` is 3 s on each site.
 inline constexpr absl::Duration kLeasePeriod = absl::Seconds(3);
 
 struct PlannerLeaseHandlers {
-  // The lease is held under this epoch.
+  // The lease was claimed, and is held under this epoch.
   std::function<void(uint64_t epoch)> on_claimed;
-  // Another planner holds the lease.
-  std::function<void()> on_deposed;
+  // A commit conflicted because another planner holds the lease.
+  std::function<void()> on_lease_lost;
 };
 
 class PlannerLease {
@@ -64,14 +66,17 @@
                Log* log,
                PlannerLeaseHandlers handlers);
 
-  // Tries to take the lease. Only a lease is taken whose row has stood still
-  // between two calls, was released, names this holder as that of an earlier
-  // process, or is of the epoch `failing`, whose planner has said that its
-  // commits fail; 0 means none. Does nothing while a try is under way.
-  void Claim(uint64_t failing);
-
-  // Stores and removes rows together with what was queued before and then calls
-  // `done`. Nothing is called when the lease is lost first.
+  // Tries to claim the lease. Succeeds only if there is no lease row, or the
+  // row has not changed between two calls that are far enough apart, was
+  // released, names this holder (an earlier process of this VM), or has the
+  // epoch `failing_epoch`, whose planner reported that its commits fail. 0
+  // means that no planner has reported this. Does nothing while a claim is
+  // under way.
+  void Claim(uint64_t failing_epoch);
+
+  // Queues rows to store and rows to remove, and calls `done` once these and
+  // all rows queued before are committed. `done` is not called if the lease is
+  // lost first.
   void Write(std::vector<StorePut> puts, std::function<void()> done) {
     this->Write(std::move(puts), {}, std::move(done));
   }
@@ -79,41 +84,49 @@
              const std::vector<StoreRemove>& removes,
              std::function<void()> done);
 
-  // Renews the lease when no commit has done so lately.
+  // Renews the lease with an empty commit unless another commit has done so
+  // recently.
   void Renew();
 
-  // Gives the lease up after what is queued; `done` is called in any case.
+  // Commits the queued rows and releases the lease with the last commit. `done`
+  // is called also when the lease is lost before.
   void Release(std::function<void()> done);
 
-  // Forgets the lease, for a planner that learns that it was replaced.
+  // Drops the lease and all queued rows without a write to the store, for a
+  // planner that has learned that it was replaced.
   void Drop();
 
   bool IsHeld() const { return this->held; }
-  // A call for the lease is under way.
+  // A claim is under way.
   bool IsClaiming() const { return this->claiming; }
   uint64_t Epoch() const { return this->row.epoch; }
-  // Until when authority may be granted, by the boot clock.
-  absl::Time ValidUntil() const { return this->last_success + kLeasePeriod; }
-  // Upper bound of the time of the last commit of the planner before this one.
-  absl::Time PredecessorEnd() const { return this->predecessor_end; }
-  // Send time of the last commit that succeeded.
-  absl::Time LastSuccess() const { return this->last_success; }
+  // Expiry of the lease by the boot clock.
+  absl::Time Expiry() const { return this->last_commit_time + kLeasePeriod; }
+  // Upper bound of the time of the last commit of the previous holder, by the
+  // boot clock.
+  absl::Time PredecessorLastCommit() const {
+    return this->predecessor_last_commit;
+  }
+  // Time at which the last successful commit was sent, by the boot clock.
+  absl::Time LastCommitTime() const { return this->last_commit_time; }
 
  private:
+  // A lease row of another holder, and when this process first read this
+  // version of it.
   struct Observation {
     int64_t version = 0;
-    absl::Time since;
+    absl::Time first_seen;
   };
 
-  void OnRead(RowsReply&& reply, uint64_t failing);
+  void OnRead(RowsReply&& reply, uint64_t failing_epoch);
   void SendClaim();
-  void Kick();
-  void Send();
-  void OnCommit(CommitReply&& reply, absl::Time sent);
-  void Succeed(int64_t version, absl::Time sent);
-  void RetryLater();
-  // The lease row among the rows of a conflict, decoded.
-  std::optional<std::pair<LeaseRow, int64_t>> FindLease(
+  void ScheduleCommit();
+  void SendCommit();
+  void OnCommitReply(CommitReply&& reply, absl::Time sent);
+  void OnCommitted(int64_t version, absl::Time sent);
+  void ScheduleRetry();
+  // Returns the decoded lease row and its version from the rows of a conflict.
+  std::optional<std::pair<LeaseRow, int64_t>> FindLeaseRow(
       const std::vector<StoreRow>& rows) const;
 
   Store* store;
@@ -122,26 +135,26 @@
   PlannerLeaseHandlers handlers;
   boost::asio::steady_timer timer;
   std::optional<Observation> observed;
-  absl::Time predecessor_end = absl::InfinitePast();
+  absl::Time predecessor_last_commit = absl::InfinitePast();
   bool claiming = false;
   bool held = false;
-  // What the commit under way writes, or the last one wrote.
+  // Lease row that the commit under way writes, or that the last one wrote.
   LeaseRow row;
-  // Version of the row that the commit under way expects.
+  // Version of the lease row that the commit under way expects.
   int64_t version = 0;
-  absl::Time last_success = absl::InfinitePast();
+  absl::Time last_commit_time = absl::InfinitePast();
   absl::Time last_sent = absl::InfinitePast();
-  // Rows and callbacks of the commit under way, and those that wait.
+  // The commit under way with its callbacks, and the queue for later commits.
   bool in_flight = false;
-  bool kick_pending = false;
+  bool commit_scheduled = false;
   bool releasing = false;
   StoreCommit commit;
-  std::vector<std::function<void()>> commit_done;
-  // By table and key; without a value the row is removed.
+  std::vector<std::function<void()>> commit_callbacks;
+  // Values by table and key; a row without a value is to be removed.
   std::map<std::pair<std::string, std::string>, std::optional<std::string>>
       queued;
-  std::vector<std::function<void()>> queued_done;
-  std::function<void()> released;
+  std::vector<std::function<void()>> queued_callbacks;
+  std::function<void()> on_released;
 };
 
 }  // namespace cuminjunction
--- a/daemon/planner_nodes.cc
+++ b/daemon/planner_nodes.cc
@@ -11,19 +11,21 @@
 
 using boost::asio::ip::tcp;
 
-// Two pings are answered within a second even when one is lost to a reset.
+// At this interval two pings are answered within a second even if a connection
+// reset loses one.
 constexpr absl::Duration kPingInterval = absl::Milliseconds(400);
 
-// A node that has not answered for this long has a dead connection: three
-// pings and the round trip to another region (24 ms).
-constexpr absl::Duration kSilence = absl::Milliseconds(1300);
+// A connection without an answer for this long is closed: three ping intervals
+// and the round trip to another region (24 ms).
+constexpr absl::Duration kPongTimeout = absl::Milliseconds(1300);
 
-// Pause before another connection is tried.
-constexpr absl::Duration kRetryPause = absl::Milliseconds(250);
+// Delay before the next attempt to connect.
+constexpr absl::Duration kRetryDelay = absl::Milliseconds(250);
 
-// Grants are longer than what is told to the agent by the difference that two
-// clocks may run apart. The platform states 2% for a runner; twice that.
-constexpr double kClockMargin = 1.04;
+// The planner counts with a grant longer than the one it sends, by the drift
+// between the two clocks. The platform states a drift of 2% for a runner; this
+// is twice that.
+constexpr double kClockDriftFactor = 1.04;
 
 }  // namespace
 
@@ -37,16 +39,16 @@
       handlers(std::move(handlers)) {}
 
 PlannerNodes::~PlannerNodes() {
-  this->End();
+  this->Stop();
 }
 
-void PlannerNodes::Begin(uint64_t new_epoch) {
+void PlannerNodes::Start(uint64_t new_epoch) {
   this->epoch = new_epoch;
   this->active = true;
   this->current_grant = absl::ZeroDuration();
 }
 
-void PlannerNodes::End() {
+void PlannerNodes::Stop() {
   this->active = false;
   for (auto& [vm, node] : this->nodes) {
     if (node.link)
@@ -61,8 +63,8 @@
     return;
   node.row = row;
   if (node.link)
-    this->Lose(vm, &node,
-               std::make_error_code(std::errc::address_not_available));
+    this->Disconnect(vm, &node,
+                     std::make_error_code(std::errc::address_not_available));
   node.retry_at = absl::InfinitePast();
   if (this->active)
     this->Connect(vm, &node);
@@ -70,8 +72,8 @@
 
 void PlannerNodes::Connect(const std::string& vm, Node* node) {
   node->answered = false;
-  node->stamp_us = 0;
-  node->heard = BootClock().Now();
+  node->timestamp_us = 0;
+  node->last_received = BootClock().Now();
   node->link = std::make_shared<FrameLink>(
       tcp::socket(*this->context),
       FrameHandlers{.on_open = nullptr,
@@ -81,43 +83,43 @@
                         },
                     .on_closed =
                         [this, vm](std::error_code reason) {
-                          this->Lose(vm, &this->nodes.at(vm), reason);
+                          this->Disconnect(vm, &this->nodes.at(vm), reason);
                         }});
   this->Ping(vm, node);
   node->link->Connect(node->row.address);
 }
 
-void PlannerNodes::Lose(const std::string& vm,
-                        Node* node,
-                        std::error_code reason) {
+void PlannerNodes::Disconnect(const std::string& vm,
+                              Node* node,
+                              std::error_code reason) {
   if (!node->link)
     return;
   node->link->Close();
   node->link = nullptr;
-  node->store_lost = false;
+  node->store_unreachable = false;
   node->refused = reason == std::errc::connection_refused;
-  node->retry_at = BootClock().Now() + kRetryPause;
+  node->retry_at = BootClock().Now() + kRetryDelay;
   if (!std::exchange(node->answered, false))
     return;
   this->log->Write(LogLine("node_lost", LogLevel::kWarning)
                        .Add("node", vm)
                        .Add("epoch", this->epoch)
                        .Add("error", reason));
-  this->handlers.on_lost(vm, node->row.agent);
+  this->handlers.on_disconnected(vm, node->row.is_agent);
 }
 
-void PlannerNodes::Tick(absl::Duration grant, bool store_trouble) {
+void PlannerNodes::Tick(absl::Duration grant, bool commits_failing) {
   if (!this->active)
     return;
   this->current_grant = grant;
-  this->current_trouble = store_trouble;
+  this->current_commits_failing = commits_failing;
   const absl::Time now = BootClock().Now();
   for (auto& [vm, node] : this->nodes) {
-    if (node.link && now - node.heard > kSilence)
-      this->Lose(vm, &node, std::make_error_code(std::errc::timed_out));
+    if (node.link && now - node.last_received > kPongTimeout)
+      this->Disconnect(vm, &node, std::make_error_code(std::errc::timed_out));
     if (!node.link && now >= node.retry_at)
       this->Connect(vm, &node);
-    else if (node.answered && now - node.pinged >= kPingInterval)
+    else if (node.answered && now - node.last_ping_sent >= kPingInterval)
       this->Ping(vm, &node);
   }
 }
@@ -126,22 +128,23 @@
   PlannerPing ping;
   ping.epoch = this->epoch;
   ping.planner = this->planner;
-  ping.store_trouble = this->current_trouble;
+  ping.commits_failing = this->current_commits_failing;
   const absl::Time now = BootClock().Now();
-  if (node->row.agent && node->stamp_us > 0 &&
+  if (node->row.is_agent && node->timestamp_us > 0 &&
       this->current_grant > absl::ZeroDuration()) {
-    ping.echoed_stamp_us = node->stamp_us;
+    ping.echoed_timestamp_us = node->timestamp_us;
     ping.grant_ms = absl::ToInt64Milliseconds(this->current_grant);
-    this->handlers.on_granted(vm, now + this->current_grant * kClockMargin);
+    this->handlers.on_granted(vm,
+                              now + this->current_grant * kClockDriftFactor);
   }
-  node->pinged = now;
+  node->last_ping_sent = now;
   node->link->Send(EncodeFleetMessage(ping));
 }
 
 Status PlannerNodes::OnFrame(const std::string& vm, std::string_view payload) {
   BOOST_OUTCOME_TRY(message, DecodeFleetMessage(payload));
   Node& node = this->nodes.at(vm);
-  node.heard = BootClock().Now();
+  node.last_received = BootClock().Now();
   if (const auto* pong = std::get_if<NodePong>(&message))
     this->OnPong(vm, &node, *pong);
   else
@@ -153,30 +156,32 @@
                           Node* node,
                           const NodePong& pong) {
   if (pong.highest_epoch > this->epoch) {
-    // Called later: this may close the connection that is being read.
-    boost::asio::post(*this->context, [this] { this->handlers.on_deposed(); });
+    // Posted, since the handler may close the connection that is being read.
+    boost::asio::post(*this->context,
+                      [this] { this->handlers.on_higher_epoch(); });
     return;
   }
-  const bool first = !std::exchange(node->answered, true);
-  node->stamp_us = pong.stamp_us;
-  node->store_lost = pong.store_lost;
+  const bool first_answer = !std::exchange(node->answered, true);
+  node->timestamp_us = pong.timestamp_us;
+  node->store_unreachable = pong.store_unreachable;
   node->refused = false;
   if (pong.rules_out_long_grants)
-    this->handlers.on_no_long_grants();
-  if (!first)
+    this->handlers.on_long_grants_ruled_out();
+  if (!first_answer)
     return;
-  // The first stamp is granted at once, so that the agent may start tasks.
+  // Sends a grant for the first timestamp at once, so that the agent may start
+  // tasks.
   this->Ping(vm, node);
-  this->handlers.on_connected(vm, node->row.agent);
+  this->handlers.on_connected(vm, node->row.is_agent);
 }
 
-bool PlannerNodes::AllEntriesLostStore(absl::Time now) const {
+bool PlannerNodes::NoEntryReachesStore(absl::Time now) const {
   return std::all_of(this->nodes.begin(), this->nodes.end(),
                      [&](const auto& entry) {
                        const Node& node = entry.second;
-                       return node.row.agent || node.refused ||
-                              (node.answered && node.store_lost &&
-                               now - node.heard <= kSilence);
+                       return node.row.is_agent || node.refused ||
+                              (node.answered && node.store_unreachable &&
+                               now - node.last_received <= kPongTimeout);
                      });
 }
 
@@ -189,7 +194,7 @@
 std::vector<std::string> PlannerNodes::ConnectedAgents() const {
   std::vector<std::string> agents;
   for (const auto& [vm, node] : this->nodes) {
-    if (node.row.agent && node.answered && node.link)
+    if (node.row.is_agent && node.answered && node.link)
       agents.push_back(vm);
   }
   return agents;
@@ -198,7 +203,7 @@
 void PlannerNodes::SendToEntries(const FleetMessage& message) {
   const std::string payload = EncodeFleetMessage(message);
   for (auto& [vm, node] : this->nodes) {
-    if (!node.row.agent && node.answered && node.link)
+    if (!node.row.is_agent && node.answered && node.link)
       node.link->Send(payload);
   }
 }
--- a/daemon/planner_nodes.h
+++ b/daemon/planner_nodes.h
@@ -4,9 +4,9 @@
 // The planner's connections to the other processes.
 //
 //   PlannerNodes nodes(&context, "erie-a-1", &log, handlers);
-//   nodes.Begin(epoch);
+//   nodes.Start(epoch);
 //   nodes.Add("erie-a-2", row);
-//   nodes.Tick(grant, trouble);   // several times a second
+//   nodes.Tick(grant, commits_failing);   // several times a second
 //   nodes.Send("erie-a-2", StopRuns{...});
 
 #include <boost/asio/io_context.hpp>
@@ -26,17 +26,20 @@
 namespace cuminjunction {
 
 struct PlannerNodesHandlers {
-  // A connection stands and the node has answered on it.
-  std::function<void(const std::string& vm, bool agent)> on_connected;
-  std::function<void(const std::string& vm, bool agent)> on_lost;
-  // An entry has said that no long grant can be in force.
-  std::function<void()> on_no_long_grants;
-  // A ping with a grant was sent: the node's runner may run until then at the
-  // latest.
-  std::function<void(const std::string& vm, absl::Time end)> on_granted;
+  // A connection is open and the node has answered the first ping on it.
+  std::function<void(const std::string& vm, bool is_agent)> on_connected;
+  // A connection on which the node had answered is closed.
+  std::function<void(const std::string& vm, bool is_agent)> on_disconnected;
+  // An entry has reported that no long grant can be in force.
+  std::function<void()> on_long_grants_ruled_out;
+  // A ping with a grant is about to be sent. `grant_deadline`, by the boot
+  // clock of this process, is the latest time at which the node's runner may
+  // run.
+  std::function<void(const std::string& vm, absl::Time grant_deadline)>
+      on_granted;
   std::function<void(const std::string& vm, FleetMessage&& message)> on_message;
-  // A node has seen a planner with a higher epoch.
-  std::function<void()> on_deposed;
+  // A node has received messages of a planner with a higher epoch.
+  std::function<void()> on_higher_epoch;
 };
 
 class PlannerNodes {
@@ -50,30 +53,31 @@
   PlannerNodes(const PlannerNodes&) = delete;
   PlannerNodes& operator=(const PlannerNodes&) = delete;
 
-  // Starts to connect as the planner of this epoch.
-  void Begin(uint64_t epoch);
+  // Starts to connect to nodes, as the planner of this epoch.
+  void Start(uint64_t epoch);
 
-  // Closes all connections.
-  void End();
+  // Closes all connections and removes all nodes.
+  void Stop();
 
-  // Tells of a node, or of its new address.
+  // Adds a node or changes its address, and connects to it.
   void Add(const std::string& vm, const NodeRow& row);
 
-  // Connects, pings, and drops connections that fell silent. `grant` is what
-  // agents are granted, zero for nothing.
-  void Tick(absl::Duration grant, bool store_trouble);
+  // Opens missing connections, sends pings that are due, and closes connections
+  // whose node no longer answers. `grant` is how long agents may keep their
+  // runners running from their latest timestamp on; zero grants nothing.
+  void Tick(absl::Duration grant, bool commits_failing);
 
-  // True when every entry has lately said that it does not reach the store.
-  // Entries that refuse connections are not running.
-  bool AllEntriesLostStore(absl::Time now) const;
+  // True if every running entry has recently reported that it does not reach
+  // the store. An entry whose VM refuses connections is not running.
+  bool NoEntryReachesStore(absl::Time now) const;
 
-  // Sends to a node; without a connection the message is dropped.
+  // Sends a message to a node. Drops it if there is no connection.
   void Send(const std::string& vm, const FleetMessage& message);
 
-  // Sends to all entries that are connected.
+  // Sends a message to all connected entries.
   void SendToEntries(const FleetMessage& message);
 
-  // Names of the agents that answer.
+  // Returns the VMs of the agents that have answered on their connection.
   std::vector<std::string> ConnectedAgents() const;
 
  private:
@@ -82,18 +86,20 @@
     std::shared_ptr<FrameLink> link;
     // The node has answered on this connection.
     bool answered = false;
-    absl::Time heard;
+    // When the connection was started or the last frame arrived.
+    absl::Time last_received;
     absl::Time retry_at = absl::InfinitePast();
-    absl::Time pinged = absl::InfinitePast();
-    int64_t stamp_us = 0;
-    // The last answer said that the store is not reached.
-    bool store_lost = false;
-    // The last connection was refused, so that no process is there.
+    absl::Time last_ping_sent = absl::InfinitePast();
+    // Latest NodePong::timestamp_us on this connection; 0 for none.
+    int64_t timestamp_us = 0;
+    // The last pong reported that the node does not reach the store.
+    bool store_unreachable = false;
+    // The last connection was refused, so no process listens at the address.
     bool refused = false;
   };
 
   void Connect(const std::string& vm, Node* node);
-  void Lose(const std::string& vm, Node* node, std::error_code reason);
+  void Disconnect(const std::string& vm, Node* node, std::error_code reason);
   void Ping(const std::string& vm, Node* node);
   Status OnFrame(const std::string& vm, std::string_view payload);
   void OnPong(const std::string& vm, Node* node, const NodePong& pong);
@@ -105,7 +111,7 @@
   uint64_t epoch = 0;
   bool active = false;
   absl::Duration current_grant;
-  bool current_trouble = false;
+  bool current_commits_failing = false;
   std::map<std::string, Node> nodes;
 };
 
--- a/daemon/planner_port.cc
+++ b/daemon/planner_port.cc
@@ -10,13 +10,13 @@
 
 using boost::asio::ip::tcp;
 
-// Every entry may be a planner, and a connection that fell silent stays until
-// the system notices: this is far above both.
+// Far above the number of entries, each of which may be a planner, and of dead
+// connections, each of which counts until the system detects that it is dead.
 constexpr size_t kMaxLinks = 256;
 
-// The epoch of a planner's message, or nullptr for a message that planners
-// don't send.
-const uint64_t* EpochOf(const FleetMessage& message) {
+// Returns the epoch of a planner's message, or nullptr for a message that
+// planners don't send.
+const uint64_t* PlannerEpoch(const FleetMessage& message) {
   return std::visit(
       [](const auto& body) -> const uint64_t* {
         if constexpr (requires { body.epoch; })
@@ -68,25 +68,25 @@
         if (error == std::errc::operation_canceled || !this->acceptor.is_open())
           return;
         if (!error && this->links.size() < kMaxLinks)
-          this->Adopt(std::move(socket));
+          this->OpenConnection(std::move(socket));
         this->Accept();
       });
 }
 
-void PlannerPort::Adopt(tcp::socket socket) {
-  auto slot = std::make_shared<std::weak_ptr<FrameLink>>();
+void PlannerPort::OpenConnection(tcp::socket socket) {
+  auto weak_link = std::make_shared<std::weak_ptr<FrameLink>>();
   auto link = std::make_shared<FrameLink>(
       std::move(socket),
       FrameHandlers{.on_open = nullptr,
                     .on_frame =
-                        [this, slot](std::string_view payload) {
-                          return this->OnFrame(slot->lock(), payload);
+                        [this, weak_link](std::string_view payload) {
+                          return this->OnFrame(weak_link->lock(), payload);
                         },
                     .on_closed =
-                        [this, slot](std::error_code reason) {
-                          this->OnClosed(slot->lock(), reason);
+                        [this, weak_link](std::error_code reason) {
+                          this->OnClosed(weak_link->lock(), reason);
                         }});
-  *slot = link;
+  *weak_link = link;
   this->links.insert(link);
   link->Open();
 }
@@ -94,10 +94,10 @@
 Status PlannerPort::OnFrame(const std::shared_ptr<FrameLink>& link,
                             std::string_view payload) {
   BOOST_OUTCOME_TRY(message, DecodeFleetMessage(payload));
-  const uint64_t* sender = EpochOf(message);
-  if (sender == nullptr)
+  const uint64_t* sender_epoch = PlannerEpoch(message);
+  if (sender_epoch == nullptr)
     return Ok();
-  if (*sender < this->epoch) {
+  if (*sender_epoch < this->epoch) {
     link->Send(
         EncodeFleetMessage(NodePong{this->vm, 0, this->epoch, false, false}));
     return Ok();
@@ -106,8 +106,8 @@
     this->OnPing(link, *ping);
     return Ok();
   }
-  // Bytes of a connection that was replaced may still arrive.
-  if (link == this->planner)
+  // Messages of a connection that was replaced may still arrive; ignores them.
+  if (link == this->planner_link)
     this->handlers.on_message(std::move(message));
   return Ok();
 }
@@ -115,46 +115,47 @@
 void PlannerPort::OnPing(const std::shared_ptr<FrameLink>& link,
                          const PlannerPing& ping) {
   const absl::Time now = BootClock().Now();
-  const bool changed = link != this->planner;
-  if (changed) {
+  const bool new_connection = link != this->planner_link;
+  if (new_connection) {
     this->log->Write(LogLine("planner_connected")
                          .Add("planner", ping.planner)
                          .Add("epoch", ping.epoch)
                          .Add("previous_epoch", this->epoch));
     this->epoch = ping.epoch;
-    const std::shared_ptr<FrameLink> old = std::exchange(this->planner, link);
-    if (old) {
-      old->Close();
-      this->links.erase(old);
+    const std::shared_ptr<FrameLink> previous =
+        std::exchange(this->planner_link, link);
+    if (previous) {
+      previous->Close();
+      this->links.erase(previous);
     }
   }
   this->last_ping = now;
-  const bool store_lost =
-      this->handlers.is_store_lost && this->handlers.is_store_lost();
+  const bool store_unreachable = this->handlers.is_store_unreachable &&
+                                 this->handlers.is_store_unreachable();
   link->Send(EncodeFleetMessage(
-      NodePong{this->vm, ToMicros(now), this->epoch, store_lost,
+      NodePong{this->vm, ToMicros(now), this->epoch, store_unreachable,
                this->handlers.rules_out_long_grants &&
                    this->handlers.rules_out_long_grants()}));
-  if (changed)
-    this->handlers.on_planner();
+  if (new_connection)
+    this->handlers.on_planner_connected();
   this->handlers.on_ping(ping);
 }
 
 void PlannerPort::OnClosed(const std::shared_ptr<FrameLink>& link,
                            std::error_code reason) {
   this->links.erase(link);
-  if (link != this->planner)
+  if (link != this->planner_link)
     return;
-  this->planner = nullptr;
+  this->planner_link = nullptr;
   this->log->Write(LogLine("planner_lost", LogLevel::kWarning)
                        .Add("epoch", this->epoch)
                        .Add("error", reason));
-  this->handlers.on_lost();
+  this->handlers.on_planner_disconnected();
 }
 
 void PlannerPort::Send(const FleetMessage& message) {
-  if (this->planner)
-    this->planner->Send(EncodeFleetMessage(message));
+  if (this->planner_link)
+    this->planner_link->Send(EncodeFleetMessage(message));
 }
 
 void PlannerPort::Close() {
@@ -163,7 +164,7 @@
   for (const auto& link : this->links)
     link->Close();
   this->links.clear();
-  this->planner = nullptr;
+  this->planner_link = nullptr;
 }
 
 }  // namespace cuminjunction
--- a/daemon/planner_task.cc
+++ b/daemon/planner_task.cc
@@ -28,7 +28,7 @@
 PlannerTask::PlannerTask(const Settings& settings,
                          const std::string& process,
                          const TaskCharts* charts,
-                         const NudgeListener& nudge,
+                         const WorkerChangeListener& on_worker_changed,
                          Log* log,
                          Metrics* metrics)
     : table(settings.platform.table_url, settings.platform.timeout_ms),
@@ -47,7 +47,7 @@
       waiting(metrics->GetGauge("planner_waiting_tasks")),
       thread("planner"),
       timer(this->thread.Context()) {
-  this->loop.SetNudge(nudge);
+  this->loop.SetNudge(on_worker_changed);
   this->thread.Start();
   this->thread.Post([this] { this->Tick(); });
 }
--- a/daemon/planner_task.h
+++ b/daemon/planner_task.h
@@ -1,10 +1,10 @@
 #ifndef DAEMON_PLANNER_TASK_H_
 #define DAEMON_PLANNER_TASK_H_
 
-// The planner of an entry on a thread of its own.
+// The planner of an entry, which runs on its own thread.
 //
-// Every entry runs one; the planner lease in the table keeps all but one from
-// planning. Calls of the table block this thread and no other.
+// Every entry runs one, and the planner lease in the table ensures that only
+// one of them plans. Calls to the table block only this thread.
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -26,15 +26,16 @@
 
 class PlannerTask {
  public:
-  using NudgeListener = std::function<void(const std::string& worker)>;
+  using WorkerChangeListener = std::function<void(const std::string& worker)>;
 
-  // `process` is unique among processes and restarts. `charts`, `log` and
-  // `metrics` must outlive this object. `nudge` is called on its thread with
-  // each worker whose row it has changed.
+  // `process` is unique among all incarnations of all processes. `charts`,
+  // `log` and `metrics` must outlive this object. `on_worker_changed` is called
+  // on the planner's thread with the name of each worker whose row it has
+  // changed.
   PlannerTask(const Settings& settings,
               const std::string& process,
               const TaskCharts* charts,
-              const NudgeListener& nudge,
+              const WorkerChangeListener& on_worker_changed,
               Log* log,
               Metrics* metrics);
   ~PlannerTask();
@@ -43,14 +44,16 @@
 
   void SetDocument(uint64_t version, std::shared_ptr<const Document> document);
 
-  // Whether this entry planned in its last round.
+  // True if this entry held the planner lease in its last round.
   bool IsLeading();
 
-  // Why a task is where it is, from this planner's picture; nullopt when it
-  // does not lead and so has no current picture. Fails with kUnknownTask.
+  // Explains the placement of a task from this planner's state. Returns nullopt
+  // if this entry is not leading, since its state is then not current. Fails
+  // with kUnknownTask.
   std::optional<Result<Explanation>> Explain(const std::string& task);
 
-  // The tasks of the picture; nullopt when it does not lead.
+  // Returns all tasks in the planner's state, or nullopt if this entry is not
+  // leading or has not yet loaded all of them.
   std::optional<std::vector<TaskRow>> Tasks();
 
  private:
--- a/daemon/policy_follower.cc
+++ b/daemon/policy_follower.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-// A connection that fell silent is noticed after this and a little more, which
-// leaves time to read a change within the 2.5 s that it may take.
+// A dead connection is detected shortly after this time. That leaves enough
+// time to read a change within the 2.5 s that it may take to be in force.
 constexpr absl::Duration kFeedWait = absl::Milliseconds(1000);
 constexpr absl::Duration kReadTimeout = absl::Milliseconds(800);
-constexpr std::chrono::milliseconds kRetryPause(100);
+constexpr std::chrono::milliseconds kRetryDelay(100);
 
 }  // namespace
 
@@ -30,48 +30,48 @@
 void PolicyFollower::Read() {
   this->store->ReadConfiguration(kReadTimeout, [this](RowsReply&& reply) {
     if (reply.error) {
-      this->OnError(reply.error);
+      this->OnReadFailed(reply.error);
       return;
     }
-    this->OnAnswer();
+    this->OnReadSucceeded();
     this->version = reply.version;
-    this->Take(reply.rows);
-    this->Follow();
+    this->ApplyRows(reply.rows);
+    this->ReadFeed();
   });
 }
 
-void PolicyFollower::Follow() {
+void PolicyFollower::ReadFeed() {
   this->store->FeedConfiguration(this->version, kFeedWait,
                                  [this](RowsReply&& reply) {
                                    if (reply.error) {
-                                     this->OnError(reply.error);
+                                     this->OnReadFailed(reply.error);
                                      return;
                                    }
-                                   this->OnAnswer();
+                                   this->OnReadSucceeded();
                                    this->version = reply.version;
-                                   this->Take(reply.rows);
-                                   this->Follow();
+                                   this->ApplyRows(reply.rows);
+                                   this->ReadFeed();
                                  });
 }
 
-void PolicyFollower::OnAnswer() {
-  if (std::exchange(this->store_lost, false))
+void PolicyFollower::OnReadSucceeded() {
+  if (std::exchange(this->store_unreachable, false))
     this->log->Write(LogLine("store_regained"));
 }
 
-void PolicyFollower::OnError(std::error_code error) {
-  if (!std::exchange(this->store_lost, true))
+void PolicyFollower::OnReadFailed(std::error_code error) {
+  if (!std::exchange(this->store_unreachable, true))
     this->log->Write(
         LogLine("store_lost", LogLevel::kWarning).Add("error", error));
-  // Changes may have been missed, so the configuration is read whole.
-  this->timer.expires_after(kRetryPause);
+  // Changes may have been missed, so the whole configuration is read again.
+  this->timer.expires_after(kRetryDelay);
   this->timer.async_wait([this](std::error_code cancelled) {
     if (!cancelled)
       this->Read();
   });
 }
 
-void PolicyFollower::Take(const std::vector<StoreRow>& rows) {
+void PolicyFollower::ApplyRows(const std::vector<StoreRow>& rows) {
   for (const StoreRow& row : rows) {
     if (!Store::IsConfiguration(row))
       continue;
@@ -82,7 +82,7 @@
                            .Add("error", parsed.error()));
       continue;
     }
-    // Never back to an older version.
+    // Ignores older versions.
     if (parsed.value().version <= this->policy.version)
       continue;
     this->log->Write(LogLine("configuration_taken")
--- a/daemon/policy_follower.h
+++ b/daemon/policy_follower.h
@@ -3,11 +3,8 @@
 
 // Follows the operator's configuration in the platform's store.
 //
-//   PolicyFollower follower(&context, &store, &log, [](const FleetPolicy&
-//   policy) {
-//     ...                                          // a higher version
-//   });
-//   follower.Start();
+//   PolicyFollower follower(&context, &store, &log, handler);
+//   follower.Start();   // calls `handler` with each higher version
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -34,23 +31,25 @@
   void Start();
 
   const FleetPolicy& Policy() const { return this->policy; }
-  // The last call to the store failed.
-  bool IsStoreLost() const { return this->store_lost; }
+  // True if the last read of the store failed.
+  bool IsStoreUnreachable() const { return this->store_unreachable; }
 
  private:
+  // Reads the whole configuration, then its feed of changes.
   void Read();
-  void Follow();
-  void Take(const std::vector<StoreRow>& rows);
-  void OnError(std::error_code error);
-  void OnAnswer();
+  void ReadFeed();
+  void ApplyRows(const std::vector<StoreRow>& rows);
+  void OnReadFailed(std::error_code error);
+  void OnReadSucceeded();
 
   Store* store;
   Log* log;
   Handler handler;
   boost::asio::steady_timer timer;
   FleetPolicy policy;
+  // Version of the store up to which the feed was read.
   int64_t version = 0;
-  bool store_lost = false;
+  bool store_unreachable = false;
 };
 
 }  // namespace cuminjunction
--- a/daemon/store_reader.cc
+++ b/daemon/store_reader.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A change is in force within 4 s; reading once a second leaves time for the
-// way to the agents.
+// A change must be in force within 4 s. Reading once a second leaves time to
+// distribute it to the agents.
 constexpr std::chrono::milliseconds kReadInterval(1000);
 
 }  // namespace
@@ -35,7 +35,7 @@
   this->thread.Post([this] { this->Read(); });
 }
 
-void StoreReader::StartOver() {
+void StoreReader::Resync() {
   this->thread.Post([this] {
     this->cursor = {};
     this->Read();
@@ -44,7 +44,7 @@
 
 void StoreReader::Read() {
   auto delta = ReadStore(&this->table, &this->cursor);
-  this->NoteReachable(delta.has_value());
+  this->SetReachable(delta.has_value());
   if (delta)
     this->listener(std::move(delta.value()));
   this->ScheduleRead();
@@ -58,7 +58,7 @@
   });
 }
 
-void StoreReader::NoteReachable(bool is_reachable) {
+void StoreReader::SetReachable(bool is_reachable) {
   if (this->reachable.exchange(is_reachable) == is_reachable)
     return;
   this->log->Write(
--- a/daemon/store_reader.h
+++ b/daemon/store_reader.h
@@ -1,7 +1,8 @@
 #ifndef DAEMON_STORE_READER_H_
 #define DAEMON_STORE_READER_H_
 
-// Follows the configuration in the table once a second, on a thread of its own.
+// Reads the changes of the configuration from the table once a second, on its
+// own thread.
 
 #include <atomic>
 #include <boost/asio/steady_timer.hpp>
@@ -19,10 +20,11 @@
 
 class StoreReader {
  public:
-  // `listener` is called on the reader's thread after each successful read,
-  // with nullopt when nothing has changed. `log` must outlive this object.
+  // Called on the reader's thread after each successful read; `delta` is
+  // nullopt if nothing has changed.
   using Listener = std::function<void(std::optional<Delta> delta)>;
 
+  // `log` must outlive this object.
   StoreReader(const std::string& table_url,
               int64_t timeout_ms,
               Listener listener,
@@ -31,19 +33,20 @@
   StoreReader(const StoreReader&) = delete;
   StoreReader& operator=(const StoreReader&) = delete;
 
-  // Reads now, for instance after a change was accepted here.
+  // Reads at once, for instance after this process accepted a change.
   void ReadNow();
 
-  // Reads everything anew, after a delta that did not fit.
-  void StartOver();
+  // Reads the whole configuration again, after a delta that could not be
+  // applied.
+  void Resync();
 
-  // Whether the last read succeeded.
+  // True if the last read succeeded.
   bool IsReachable() const { return this->reachable.load(); }
 
  private:
   void Read();
   void ScheduleRead();
-  void NoteReachable(bool is_reachable);
+  void SetReachable(bool is_reachable);
 
   HttpTable table;
   Listener listener;
--- a/daemon/testing/planner_lease_test.cc
+++ b/daemon/testing/planner_lease_test.cc
@@ -25,12 +25,12 @@
     return std::make_unique<PlannerLease>(
         &this->context, this->store.get(), holder, &this->log,
         PlannerLeaseHandlers{.on_claimed = [](uint64_t) {},
-                             .on_deposed = [] {}});
+                             .on_lease_lost = [] {}});
   }
 
-  // Makes one call for the lease and waits until it is answered.
-  void ClaimOnce(PlannerLease* lease, uint64_t failing = 0) {
-    lease->Claim(failing);
+  // Claims the lease once and waits until the claim succeeds or fails.
+  void ClaimOnce(PlannerLease* lease, uint64_t failing_epoch = 0) {
+    lease->Claim(failing_epoch);
     this->context.restart();
     while (lease->IsClaiming())
       this->context.run_one_for(std::chrono::milliseconds(100));
@@ -42,8 +42,9 @@
   std::unique_ptr<Store> store;
 };
 
-// Guards against a second without a planner after all processes were restarted:
-// the earlier process of this VM is gone, so its lease need not be watched.
+// Guards against a second without a planner after all processes are restarted:
+// the VM's earlier process has ended, so its lease may be claimed without first
+// waiting for a renewal.
 TEST_F(PlannerLeaseTest, ARestartedProcessTakesItsOwnLeaseAtOnce) {
   auto before = this->MakeLease("front-1");
   this->ClaimOnce(before.get());
@@ -56,8 +57,9 @@
   EXPECT_EQ(after->Epoch(), epoch + 1);
 }
 
-// Guards against two entries that take the lease from one another: the holder
-// may be alive, so a claim by another VM first watches whether it renews.
+// Guards against two entries that claim the lease from each other in turn: the
+// holder may still be running, so another VM's claim succeeds only after the
+// lease row has stayed unchanged between two reads.
 TEST_F(PlannerLeaseTest, AnotherVmFirstWatchesTheLease) {
   const auto holder = this->MakeLease("front-1");
   this->ClaimOnce(holder.get());
@@ -69,9 +71,10 @@
   EXPECT_FALSE(other->IsHeld());
 }
 
-// Guards against entries that replace one another: all of them hear that a
-// planner's commits fail, and the first one to claim ends that trouble. Found
-// by lakeshore-pack-grown mix 458586169082 with 40 takeovers in a minute.
+// Guards against entries that replace each other as planner: every entry
+// receives the report that a planner's commits fail, and once one entry has
+// claimed the lease, the others must not claim it for the same epoch. Found by
+// lakeshore-pack-grown mix 458586169082 with 40 takeovers in a minute.
 TEST_F(PlannerLeaseTest, AFailingPlannerIsReplacedOnlyOnce) {
   const auto failing = this->MakeLease("front-1");
   this->ClaimOnce(failing.get());
