--- a/daemon/fleet_message.h
+++ b/daemon/fleet_message.h
@@ -304,6 +304,7 @@
 // agents.
 struct PermitRequest {
   uint64_t epoch = 0;
+  // Identifies the request; repeated in the answer.
   uint64_t number = 0;
   StepRef step;
   std::vector<std::string> runners;
@@ -345,6 +346,7 @@
 // Entry to planner: store this submission, or its cancellation, for the entry,
 // whose own calls the store refuses.
 struct StoreRequest {
+  // Identifies the request of this entry; repeated in StoreDone.
   uint64_t number = 0;
   Submission submission;
   // Cancels the submission, of which only the id is set.
--- a/daemon/fleet_planner.h
+++ b/daemon/fleet_planner.h
@@ -115,7 +115,7 @@
                 std::shared_ptr<RowsReply> pages,
                 std::function<void(RowsReply&&)> done);
   void ApplyNodeRows(const std::vector<StoreRow>& rows);
-  void FollowNodes();
+  void FollowNodeFeed();
   // Reads submissions and cancellations whose notices were lost.
   void ReconcileFromFeeds(absl::Time now);
   void ReconcileTable(const std::string& table);
--- a/daemon/fleet_planner_load.cc
+++ b/daemon/fleet_planner_load.cc
@@ -171,7 +171,7 @@
   this->next_reconcile = now + kReconcileInterval;
   this->next_waiting_notice = absl::InfinitePast();
   this->next_removal = now + kRemovalInterval;
-  this->FollowNodes();
+  this->FollowNodeFeed();
   this->SchedulePlan();
 }
 
@@ -189,7 +189,7 @@
   }
 }
 
-void FleetPlanner::FollowNodes() {
+void FleetPlanner::FollowNodeFeed() {
   this->store->Feed(
       kNodeTable, this->feed_versions[kNodeTable], kNodeFeedWait,
       [this, term = this->term](RowsReply&& reply) {
@@ -201,21 +201,21 @@
             if (!whole.error)
               this->feed_versions[kNodeTable] = whole.version;
             this->ApplyNodeRows(whole.rows);
-            this->FollowNodes();
+            this->FollowNodeFeed();
           });
           return;
         }
         if (!reply.error) {
           this->feed_versions[kNodeTable] = reply.version;
           this->ApplyNodeRows(reply.rows);
-          this->FollowNodes();
+          this->FollowNodeFeed();
           return;
         }
         auto pause = std::make_shared<boost::asio::steady_timer>(
             *this->context, std::chrono::milliseconds(200));
         pause->async_wait([this, term, pause](std::error_code error) {
           if (!error && term == this->term)
-            this->FollowNodes();
+            this->FollowNodeFeed();
         });
       });
 }
--- a/daemon/fleet_planner_permits.cc
+++ b/daemon/fleet_planner_permits.cc
@@ -49,10 +49,10 @@
 }
 
 void FleetPlanner::OnPermitAnswer(const PermitAnswer& answer) {
-  auto entry = this->queries.extract(answer.number);
-  if (entry.empty())
+  auto extracted = this->queries.extract(answer.number);
+  if (extracted.empty())
     return;
-  const SentQuery& sent_query = entry.mapped();
+  const SentQuery& sent_query = extracted.mapped();
   const StepRef& step = sent_query.query.step;
   this->log->Write(LogLine("permits_answered")
                        .Add("submission", step.submission)
@@ -73,16 +73,16 @@
 void FleetPlanner::FailQueries(
     const std::function<bool(const SentQuery&)>& should_fail,
     absl::Time now) {
-  for (auto entry = this->queries.begin(); entry != this->queries.end();) {
-    if (!should_fail(entry->second)) {
-      ++entry;
+  for (auto next = this->queries.begin(); next != this->queries.end();) {
+    if (!should_fail(next->second)) {
+      ++next;
       continue;
     }
     this->log->Write(LogLine("permits_not_answered", LogLevel::kWarning)
-                         .Add("submission", entry->second.query.step.submission)
-                         .Add("vm", entry->second.vm));
-    this->scheduler->OnPermitsFailed(entry->second.query, now);
-    entry = this->queries.erase(entry);
+                         .Add("submission", next->second.query.step.submission)
+                         .Add("vm", next->second.vm));
+    this->scheduler->OnPermitsFailed(next->second.query, now);
+    next = this->queries.erase(next);
   }
 }
 
--- a/daemon/incarnation.h
+++ b/daemon/incarnation.h
@@ -10,8 +10,8 @@
 
 namespace cuminjunction {
 
-// Returns the current time in milliseconds since the Unix epoch. Called once at
-// the start of a process, it grows with each incarnation on one VM.
+// Returns the incarnation of a process that is starting: the time in
+// milliseconds since the Unix epoch, which grows with each start on one VM.
 uint64_t MakeIncarnation();
 
 // Returns the process's name from `settings` with its incarnation, which is
--- a/daemon/planner_nodes.cc
+++ b/daemon/planner_nodes.cc
@@ -22,9 +22,9 @@
 // Delay before the next attempt to connect.
 constexpr absl::Duration kRetryDelay = absl::Milliseconds(250);
 
-// The planner counts with a grant longer than the one it sends, by the drift
-// between the two clocks. The platform states a drift of 2% for a runner; this
-// is twice that.
+// The planner assumes that a grant lasts longer by this factor than it tells
+// the agent, because of the drift between the two clocks. The platform states a
+// drift of 2% for a runner; this is twice that.
 constexpr double kClockDriftFactor = 1.04;
 
 }  // namespace
@@ -177,8 +177,8 @@
 
 bool PlannerNodes::NoEntryReachesStore(absl::Time now) const {
   return std::all_of(this->nodes.begin(), this->nodes.end(),
-                     [&](const auto& entry) {
-                       const Node& node = entry.second;
+                     [&](const auto& vm_and_node) {
+                       const Node& node = vm_and_node.second;
                        return node.row.is_agent || node.refused ||
                               (node.answered && node.store_unreachable &&
                                now - node.last_received <= kPongTimeout);
--- a/daemon/planner_port.cc
+++ b/daemon/planner_port.cc
@@ -106,7 +106,8 @@
     this->OnPing(link, *ping);
     return Ok();
   }
-  // Messages of a connection that was replaced may still arrive; ignores them.
+  // Messages of a connection that was replaced may still arrive and are
+  // ignored.
   if (link == this->planner_link)
     this->handlers.on_message(std::move(message));
   return Ok();
--- a/daemon/planner_port.h
+++ b/daemon/planner_port.h
@@ -4,7 +4,7 @@
 // Port of a process on which it accepts connections of planners.
 //
 //   PlannerPort port(&thread, "erie-a-1", &log, handlers);
-//   Result<uint16_t> listening = port.Listen("10.0.0.5", 7700);
+//   Status listening = port.Listen("10.0.0.5", 7700);
 //   port.Send(AcceptedNotice{submission});   // to the current planner
 //
 // The current planner is the one with the highest epoch that was received; its
--- a/daemon/planner_task.h
+++ b/daemon/planner_task.h
@@ -42,6 +42,7 @@
   PlannerTask(const PlannerTask&) = delete;
   PlannerTask& operator=(const PlannerTask&) = delete;
 
+  // Sets the configuration, which is in force from the next round on.
   void SetDocument(uint64_t version, std::shared_ptr<const Document> document);
 
   // True if this entry held the planner lease in its last round.
--- a/daemon/testing/planner_lease_test.cc
+++ b/daemon/testing/planner_lease_test.cc
@@ -58,8 +58,8 @@
 }
 
 // Guards against two entries that claim the lease from each other in turn: the
-// holder may still be running, so another VM's claim succeeds only after the
-// lease row has stayed unchanged between two reads.
+// holder may still be running, so a claim by another VM succeeds only once the
+// lease row has not changed for longer than the interval of renewals.
 TEST_F(PlannerLeaseTest, AnotherVmFirstWatchesTheLease) {
   const auto holder = this->MakeLease("front-1");
   this->ClaimOnce(holder.get());
