--- a/bench/flood_high_bench.cc
+++ b/bench/flood_high_bench.cc
@@ -37,8 +37,8 @@
   double least_floor_ratio = 0;
 };
 
-// The least share of its floor, or of its demand where that is less, that any
-// class but the flood gets.
+// The least share of its guaranteed rate, or of its demand where that is less,
+// that any class but the flood gets.
 double LeastFloorRatio(const SimSetup& setup, const SimResult& result) {
   double least = 1e9;
   for (size_t i = 0; i < setup.flows.size(); ++i) {
@@ -46,8 +46,8 @@
       continue;
     const SimFlow& flow = setup.flows[i];
     const double floor =
-        setup.queue.floors[static_cast<size_t>(flow.cls.urgency)] / kAccounts *
-        SimCapacity(setup);
+        setup.queue.guaranteed_shares[static_cast<size_t>(flow.cls.urgency)] /
+        kAccounts * SimCapacity(setup);
     const double served = result.flows[i].InTime() * flow.per_second;
     least = std::min(least, served / std::min(floor, flow.per_second));
   }
--- a/bench/route_sim.h
+++ b/bench/route_sim.h
@@ -225,7 +225,7 @@
       return;
     }
     this->Schedule(request.deadline, Kind::kDeadline, id);
-    const absl::Time hedge_at = this->EntryOf(request).hedge_timer.HedgeAt(
+    const absl::Time hedge_at = this->EntryOf(request).hedge_timer.HedgeTime(
         request.arrived, request.deadline);
     const Urgency urgency = this->setup.flows[flow].cls.urgency;
     if (this->setup.hedge && urgency != Urgency::kBatch &&
@@ -294,9 +294,9 @@
 
   void Finish(size_t attempt) {
     Agent& agent = this->AgentOf(attempt);
-    agent.queue.Finished(MakeId(attempt),
-                         this->Now() - this->attempts[attempt].started,
-                         this->Now());
+    agent.queue.ReleaseSlot(MakeId(attempt),
+                            this->Now() - this->attempts[attempt].started,
+                            this->Now());
     this->Reply(attempt, Kind::kAnswer);
     this->StartNext(&agent);
   }
--- a/request/agent_queue.cc
+++ b/request/agent_queue.cc
@@ -12,8 +12,8 @@
 }  // namespace
 
 Refusal FifoAgentQueue::Push(const QueuedAttempt& attempt, absl::Time now) {
-  if (this->waiting.size() >= this->limit ||
-      now + this->Wait() >= attempt.deadline)
+  if (this->waiting.size() >= this->max_waiting ||
+      now + this->ExpectedWait() >= attempt.deadline)
     return Refusal::kOverload;
   this->waiting.push_back(attempt.handle);
   return Refusal::kNone;
@@ -28,19 +28,20 @@
   return PoppedAttempt{handle, Refusal::kNone};
 }
 
-void FifoAgentQueue::Drop(uint64_t handle) {
+void FifoAgentQueue::RemoveWaiting(uint64_t handle) {
   std::erase(this->waiting, handle);
 }
 
-void FifoAgentQueue::Finish(uint64_t /*handle*/,
-                            absl::Duration service_time,
-                            absl::Time /*now*/) {
+void FifoAgentQueue::FinishAttempt(uint64_t /*handle*/,
+                                   absl::Duration service_time,
+                                   absl::Time /*now*/) {
   --this->running;
   if (service_time == absl::ZeroDuration())
     return;
-  if (this->service_time == absl::ZeroDuration())
-    this->service_time = service_time;
-  this->service_time += kSampleWeight * (service_time - this->service_time);
+  if (this->mean_service_time == absl::ZeroDuration())
+    this->mean_service_time = service_time;
+  this->mean_service_time +=
+      kSampleWeight * (service_time - this->mean_service_time);
 }
 
 AgentLoad FifoAgentQueue::Load(absl::Time /*now*/) const {
@@ -48,16 +49,18 @@
   load.running = this->running;
   load.queued = static_cast<uint32_t>(this->waiting.size());
   load.slots = this->slots;
-  load.wait_us = static_cast<uint64_t>(absl::ToInt64Microseconds(this->Wait()));
+  load.wait_us =
+      static_cast<uint64_t>(absl::ToInt64Microseconds(this->ExpectedWait()));
   load.service_us =
-      static_cast<uint64_t>(absl::ToInt64Microseconds(this->service_time));
+      static_cast<uint64_t>(absl::ToInt64Microseconds(this->mean_service_time));
   return load;
 }
 
-absl::Duration FifoAgentQueue::Wait() const {
+absl::Duration FifoAgentQueue::ExpectedWait() const {
   if (this->running < this->slots)
     return absl::ZeroDuration();
-  return this->service_time * static_cast<int64_t>(this->waiting.size() + 1) /
+  return this->mean_service_time *
+         static_cast<int64_t>(this->waiting.size() + 1) /
          static_cast<int64_t>(this->slots);
 }
 
--- a/request/agent_queue.h
+++ b/request/agent_queue.h
@@ -1,10 +1,17 @@
 #ifndef REQUEST_AGENT_QUEUE_H_
 #define REQUEST_AGENT_QUEUE_H_
 
-// The queue of an agent in front of its upstream.
+// The queue of an agent in front of its upstream. It decides which attempt
+// AgentServer starts next:
 //
-// AgentServer asks the queue which attempt runs next; FifoAgentQueue is the
-// plain form, in order of arrival with a fixed number of slots.
+//   if (queue->Push({handle, request_class, deadline}, now) != Refusal::kNone)
+//     ...                                    // refuse the attempt
+//   while (std::optional<PoppedAttempt> popped = queue->Pop(now))
+//     ...                                    // start or refuse it
+//   queue->FinishAttempt(handle, service_time, now);   // then Pop() again
+//
+// FifoAgentQueue is a simple implementation with a fixed number of slots that
+// starts attempts in the order of arrival.
 
 #include <cstdint>
 #include <deque>
@@ -15,15 +22,15 @@
 
 namespace cuminjunction {
 
-// An attempt that waits. `handle` is the agent's number for it.
+// An attempt to queue. `handle` is the number by which the agent identifies it.
 struct QueuedAttempt {
   uint64_t handle = 0;
   RequestClass request_class;
   absl::Time deadline;
 };
 
-// An attempt that leaves the queue: to be started, or to be refused when
-// `refusal` is not kNone.
+// An attempt taken out of the queue. It is to be started when `refusal` is
+// kNone and to be refused otherwise.
 struct PoppedAttempt {
   uint64_t handle = 0;
   Refusal refusal = Refusal::kNone;
@@ -35,48 +42,51 @@
  public:
   virtual ~AgentQueue() = default;
 
-  // Takes an attempt or refuses it; kNone means that it was taken.
+  // Queues an attempt and returns kNone, or returns the reason to refuse it.
   virtual Refusal Push(const QueuedAttempt& attempt, absl::Time now) = 0;
 
-  // The attempt to start now, which holds a slot until Finish(), or one to
-  // refuse, which holds none. nullopt when there is neither.
+  // Returns the next attempt to start, which occupies a slot until
+  // FinishAttempt(), or one to refuse, which occupies none. nullopt when there
+  // is neither.
   virtual std::optional<PoppedAttempt> Pop(absl::Time now) = 0;
 
-  // Forgets an attempt that waits.
-  virtual void Drop(uint64_t handle) = 0;
+  // Removes a waiting attempt.
+  virtual void RemoveWaiting(uint64_t handle) = 0;
 
-  // Frees the slot of an attempt. `service_time` is zero when it did not run.
-  virtual void Finish(uint64_t handle,
-                      absl::Duration service_time,
-                      absl::Time now) = 0;
+  // Frees the slot of an attempt that Pop() returned to start. `service_time`
+  // is zero when the attempt did not run.
+  virtual void FinishAttempt(uint64_t handle,
+                             absl::Duration service_time,
+                             absl::Time now) = 0;
 
-  // The figures that go out with each answer.
+  // The load report to send with each answer.
   virtual AgentLoad Load(absl::Time now) const = 0;
 };
 
 class FifoAgentQueue : public AgentQueue {
  public:
-  // `slots` is the number of requests at the upstream at a time and `limit`
-  // that of requests waiting.
-  FifoAgentQueue(uint32_t slots, uint32_t limit) : slots(slots), limit(limit) {}
+  // At most `slots` attempts run at the upstream and at most `max_waiting`
+  // attempts wait.
+  FifoAgentQueue(uint32_t slots, uint32_t max_waiting)
+      : slots(slots), max_waiting(max_waiting) {}
 
   Refusal Push(const QueuedAttempt& attempt, absl::Time now) override;
   std::optional<PoppedAttempt> Pop(absl::Time now) override;
-  void Drop(uint64_t handle) override;
-  void Finish(uint64_t handle,
-              absl::Duration service_time,
-              absl::Time now) override;
+  void RemoveWaiting(uint64_t handle) override;
+  void FinishAttempt(uint64_t handle,
+                     absl::Duration service_time,
+                     absl::Time now) override;
   AgentLoad Load(absl::Time now) const override;
 
  private:
-  absl::Duration Wait() const;
+  absl::Duration ExpectedWait() const;
 
   uint32_t slots;
-  uint32_t limit;
+  uint32_t max_waiting;
   uint32_t running = 0;
   std::deque<uint64_t> waiting;
-  // Decayed mean of the service time.
-  absl::Duration service_time;
+  // Decayed mean.
+  absl::Duration mean_service_time;
 };
 
 }  // namespace cuminjunction
--- a/request/agent_server.cc
+++ b/request/agent_server.cc
@@ -61,10 +61,10 @@
     case Tombstones::Verdict::kDuplicate:
       this->HandleDuplicate(peer, submit.id);
       return;
-    case Tombstones::Verdict::kBuried:
+    case Tombstones::Verdict::kBlocked:
       this->Refuse(link, submit.id, deadline, Refusal::kTombstone, now);
       return;
-    case Tombstones::Verdict::kLate:
+    case Tombstones::Verdict::kExpired:
       this->Refuse(link, submit.id, deadline, Refusal::kDeadline, now);
       return;
     case Tombstones::Verdict::kNew:
@@ -124,7 +124,7 @@
       return;
     }
     this->caller->Abort(handle);
-    this->queue->Finish(handle, now - attempt.started, now);
+    this->queue->FinishAttempt(handle, now - attempt.started, now);
     this->SendBroken(attempt, BrokenReason::kCancelled, now);
     this->Remove(handle);
     this->StartNext(now);
@@ -132,7 +132,7 @@
   }
   const absl::Time deadline = DeadlineOf(cancel.deadline_us, now);
   // The id may have been forgotten by now, so nothing is certain about it.
-  if (now > deadline + kClockSkew)
+  if (now > deadline + kMaxClockSkew)
     return;
   // An id that was admitted and is gone has had its answer.
   if (this->tombstones.Admit(cancel.id, deadline, now) !=
@@ -196,7 +196,7 @@
         found != this->attempts.end() && found->second->deadline <= now;
     if (popped->refusal == Refusal::kNone &&
         (expired || found == this->attempts.end()))
-      this->queue->Finish(handle, absl::ZeroDuration(), now);
+      this->queue->FinishAttempt(handle, absl::ZeroDuration(), now);
     if (found == this->attempts.end())
       continue;
     if (expired || popped->refusal != Refusal::kNone) {
@@ -230,8 +230,8 @@
   const Attempt& attempt = *found->second;
   const CallResult result = answer.result;
   const bool ran = result != CallResult::kNotStarted;
-  this->queue->Finish(handle,
-                      ran ? now - attempt.started : absl::ZeroDuration(), now);
+  this->queue->FinishAttempt(
+      handle, ran ? now - attempt.started : absl::ZeroDuration(), now);
   if (result == CallResult::kAnswered)
     this->SendAnswer(attempt, std::move(answer), now);
   else if (ran)
@@ -287,7 +287,7 @@
                          Refusal reason,
                          absl::Time now) {
   this->refused_total.Add();
-  this->tombstones.Bury(id, deadline, now);
+  this->tombstones.Block(id, deadline, now);
   if (link->IsOpen())
     link->Send(Refused{id, reason, this->queue->Load(now)});
 }
@@ -297,7 +297,7 @@
                                 absl::Time now) {
   const Attempt& attempt = *this->attempts[handle];
   if (attempt.phase == Phase::kQueued)
-    this->queue->Drop(handle);
+    this->queue->RemoveWaiting(handle);
   this->Refuse(attempt.link.get(), attempt.id, attempt.deadline, reason, now);
   this->Remove(handle);
 }
--- a/request/attempts.cc
+++ b/request/attempts.cc
@@ -26,7 +26,7 @@
 std::string_view ErrorTraits<AttemptError>::Message(AttemptError error) {
   switch (error) {
     case AttemptError::kEnded:
-      return "request has its outcome";
+      return "request already has an outcome";
     case AttemptError::kMayRunTwice:
       return "non-idempotent request might run twice";
     case AttemptError::kBadChart:
@@ -46,62 +46,64 @@
     if (!from)
       return AttemptError::kBadChart;
     for (const auto& [event, target] : events) {
-      const std::optional<size_t> by = IndexOf(kEventNames, event);
+      const std::optional<size_t> trigger = IndexOf(kEventNames, event);
       const std::optional<size_t> to = IndexOf(kStateNames, target);
-      if (!by || !to)
+      if (!trigger || !to)
         return AttemptError::kBadChart;
-      out.next[*from][*by] = static_cast<RequestState>(*to);
+      out.next[*from][*trigger] = static_cast<RequestState>(*to);
     }
   }
   return out;
 }
 
-Result<uint32_t> RequestAttempts::Send() {
-  if (this->Ended())
+Result<uint32_t> RequestAttempts::StartAttempt() {
+  if (this->FinalOutcome())
     return AttemptError::kEnded;
-  if (!this->MaySend())
+  if (!this->CanStartAttempt())
     return AttemptError::kMayRunTwice;
-  this->Step(RequestEvent::kSend);
+  this->ApplyEvent(RequestEvent::kSend);
   ++this->count;
   this->outstanding.push_back(this->count);
   return this->count;
 }
 
-bool RequestAttempts::MaySend() const {
+bool RequestAttempts::CanStartAttempt() const {
   if (!this->chart->Next(this->state, RequestEvent::kSend))
     return false;
   return this->idempotent || this->state == RequestState::kReady;
 }
 
-bool RequestAttempts::Refuse(uint32_t attempt) {
-  if (this->Ended() || !this->Remove(attempt))
+bool RequestAttempts::RecordRefused(uint32_t attempt) {
+  if (this->FinalOutcome() || !this->RemoveOutstanding(attempt))
     return false;
-  // With others outstanding the state stays: a refusal adds no uncertainty.
-  return !this->outstanding.empty() || this->Step(RequestEvent::kRefuse);
+  // With other attempts outstanding the state stays the same: a refused attempt
+  // has not run.
+  return !this->outstanding.empty() || this->ApplyEvent(RequestEvent::kRefuse);
 }
 
-bool RequestAttempts::Break(uint32_t attempt) {
-  if (this->Ended() || !this->Remove(attempt))
+bool RequestAttempts::RecordBroken(uint32_t attempt) {
+  if (this->FinalOutcome() || !this->RemoveOutstanding(attempt))
     return false;
-  return this->Step(this->outstanding.empty() ? RequestEvent::kBreak
-                                              : RequestEvent::kSpoil);
+  return this->ApplyEvent(this->outstanding.empty()
+                              ? RequestEvent::kBreak
+                              : RequestEvent::kBreakOneOfSeveral);
 }
 
-bool RequestAttempts::Answer(uint32_t attempt) {
-  if (this->Ended() || !this->Remove(attempt))
+bool RequestAttempts::RecordAnswered(uint32_t attempt) {
+  if (this->FinalOutcome() || !this->RemoveOutstanding(attempt))
     return false;
-  return this->Step(RequestEvent::kAnswer);
+  return this->ApplyEvent(RequestEvent::kAnswer);
 }
 
 Outcome RequestAttempts::GiveUp() {
-  if (!this->Ended())
-    this->Step(RequestEvent::kGiveUp);
-  // A state without the event would be a fault of the chart; kUnknown is the
-  // outcome that claims nothing.
-  return this->Ended().value_or(Outcome::kUnknown);
+  if (!this->FinalOutcome())
+    this->ApplyEvent(RequestEvent::kGiveUp);
+  // Without a final outcome the chart lacks a transition for the event;
+  // kUnknown is the outcome that is true in any case.
+  return this->FinalOutcome().value_or(Outcome::kUnknown);
 }
 
-std::optional<Outcome> RequestAttempts::Ended() const {
+std::optional<Outcome> RequestAttempts::FinalOutcome() const {
   switch (this->state) {
     case RequestState::kAnswered:
       return Outcome::kAnswered;
@@ -119,7 +121,7 @@
                    attempt) != this->outstanding.end();
 }
 
-bool RequestAttempts::Step(RequestEvent event) {
+bool RequestAttempts::ApplyEvent(RequestEvent event) {
   const std::optional<RequestState> next =
       this->chart->Next(this->state, event);
   if (!next)
@@ -128,7 +130,7 @@
   return true;
 }
 
-bool RequestAttempts::Remove(uint32_t attempt) {
+bool RequestAttempts::RemoveOutstanding(uint32_t attempt) {
   return std::erase(this->outstanding, attempt) > 0;
 }
 
--- a/request/baseline.cc
+++ b/request/baseline.cc
@@ -52,16 +52,16 @@
   const auto found = this->queued.find(id);
   if (found == this->queued.end())
     return false;
-  const Place place = found->second;
+  const Position position = found->second;
   this->queued.erase(found);
-  this->lanes[place.first].erase(place.second);
+  this->lanes[position.first].erase(position.second);
   return true;
 }
 
 template <int Lanes>
-void LaneQueue<Lanes>::Finished(AttemptId,
-                                absl::Duration service_time,
-                                absl::Time) {
+void LaneQueue<Lanes>::ReleaseSlot(AttemptId,
+                                   absl::Duration service_time,
+                                   absl::Time) {
   this->running -= 1;
   const double sample_us = absl::ToDoubleMicroseconds(service_time);
   this->service_us += 0.1 * (sample_us - this->service_us);
@@ -103,16 +103,16 @@
   const auto found = this->by_service.find(service);
   if (found == this->by_service.end())
     return ChooseError::kUnknownService;
-  std::vector<const UpstreamInfo*> left;
+  std::vector<const UpstreamInfo*> available;
   for (const UpstreamInfo& info : found->second) {
     if (std::find(excluded.begin(), excluded.end(), info.name) ==
         excluded.end())
-      left.push_back(&info);
+      available.push_back(&info);
   }
-  if (left.empty())
+  if (available.empty())
     return ChooseError::kAllExcluded;
   const UpstreamInfo& info =
-      *left[absl::Uniform<size_t>(random, 0, left.size())];
+      *available[absl::Uniform<size_t>(random, 0, available.size())];
   UpstreamChoice choice;
   choice.name = info.name;
   choice.host = info.host;
--- a/request/baseline.h
+++ b/request/baseline.h
@@ -1,8 +1,11 @@
 #ifndef REQUEST_BASELINE_H_
 #define REQUEST_BASELINE_H_
 
-// Simple policies behind the same concepts as FairQueue and UpstreamChooser.
-// Benches run them side by side with the real ones.
+// Simple policies with the same interfaces as FairQueue and UpstreamChooser.
+// The benches compare those with them:
+//
+//   RouteSim<UpstreamChooser, FairQueue> fair(setup);
+//   RouteSim<RandomChooser, FifoQueue> simple(setup);
 
 #include <array>
 #include <cstdint>
@@ -24,9 +27,10 @@
 
 namespace cuminjunction {
 
-// Queue with one list for each of `Lanes` urgencies, served in order; with one
-// lane, all requests are served in the order of their arrival. Refuses only for
-// lack of room.
+// A queue with one list for each of `Lanes` urgencies, served from the most
+// urgent list to the least urgent one. With one lane, requests are served in
+// the order of arrival. Refuses requests only when the queue is full or their
+// deadline has passed.
 template <int Lanes>
 class LaneQueue {
  public:
@@ -43,7 +47,7 @@
             absl::Time now);
   std::optional<QueueExit> Pop(absl::Time now);
   bool Remove(AttemptId id);
-  void Finished(AttemptId id, absl::Duration service_time, absl::Time now);
+  void ReleaseSlot(AttemptId id, absl::Duration service_time, absl::Time now);
   AgentLoad Load() const;
 
  private:
@@ -51,18 +55,18 @@
     AttemptId id;
     absl::Time deadline;
   };
-  using Place = std::pair<size_t, typename std::list<Item>::iterator>;
+  using Position = std::pair<size_t, typename std::list<Item>::iterator>;
 
   QueueSettings settings;
   std::array<std::list<Item>, Lanes> lanes;
-  absl::flat_hash_map<AttemptId, Place> queued;
+  absl::flat_hash_map<AttemptId, Position> queued;
   uint32_t running = 0;
   double service_us = 0;
 };
 
 // First in, first out.
 using FifoQueue = LaneQueue<1>;
-// The most urgent first, whoever sends it.
+// The most urgent request first, regardless of the client account.
 using StrictPriorityQueue = LaneQueue<kUrgencyCount>;
 
 // Chooses any ready upstream of the service with the same probability.
--- a/request/budget.cc
+++ b/request/budget.cc
@@ -6,16 +6,17 @@
 
 namespace {
 
-// A bucket holds this much of the link's rate. It bounds the queue that a burst
-// builds up in front of the link.
+// A bucket holds the bytes of this time at the link's rate. This bounds the
+// queue that a burst causes in front of the link.
 constexpr double kBurstSeconds = 0.1;
 
-// Share of the bucket that each use must leave behind. Indexed by LinkUse.
-constexpr std::array<double, 4> kLeaveBehind = {0, 0, 0.25, 0.5};
+// Share of the bucket that each class must leave to the others. Indexed by
+// TrafficClass.
+constexpr std::array<double, 4> kReservedShares = {0, 0, 0.25, 0.5};
 
 constexpr double kHalfLifeSeconds = 10;
-constexpr double kLeastHedgeSamples = 50;
-constexpr int kReadEvery = 100;
+constexpr double kMinHedgeSamples = 50;
+constexpr int kRefreshSamples = 100;
 constexpr double kHedgeQuantile = 0.95;
 
 int BucketOf(absl::Duration latency, int count) {
@@ -28,26 +29,26 @@
 void DecayedQuantile::Add(absl::Duration latency, absl::Time now) {
   const absl::Duration passed = now - this->decayed_at;
   if (passed > absl::Seconds(1)) {
-    const double keep =
+    const double decay =
         std::isfinite(absl::ToDoubleSeconds(passed))
             ? std::exp2(-absl::ToDoubleSeconds(passed) / kHalfLifeSeconds)
             : 0;
     for (double& bucket : this->buckets)
-      bucket *= keep;
-    this->total *= keep;
+      bucket *= decay;
+    this->total_weight *= decay;
     this->decayed_at = now;
   }
   this->buckets[static_cast<size_t>(BucketOf(latency, kBuckets))] += 1;
-  this->total += 1;
+  this->total_weight += 1;
 }
 
 absl::Duration DecayedQuantile::Quantile(double probability) const {
-  if (this->total <= 0)
+  if (this->total_weight <= 0)
     return absl::ZeroDuration();
-  double below = 0;
+  double cumulative = 0;
   for (int i = 0; i < kBuckets; ++i) {
-    below += this->buckets[static_cast<size_t>(i)];
-    if (below >= probability * this->total)
+    cumulative += this->buckets[static_cast<size_t>(i)];
+    if (cumulative >= probability * this->total_weight)
       return absl::Microseconds(std::exp2((i + 1) / 4.0));
   }
   return absl::Microseconds(std::exp2(kBuckets / 4.0));
@@ -55,35 +56,36 @@
 
 void HedgeTimer::OnLatency(absl::Duration latency, absl::Time now) {
   this->latency.Add(latency, now);
-  if (--this->until_read > 0)
+  if (--this->samples_until_refresh > 0)
     return;
-  this->usable = this->latency.Weight() >= kLeastHedgeSamples;
-  this->until_read = this->usable ? kReadEvery : 1;
-  if (!this->usable)
+  this->has_enough_samples = this->latency.TotalWeight() >= kMinHedgeSamples;
+  this->samples_until_refresh = this->has_enough_samples ? kRefreshSamples : 1;
+  if (!this->has_enough_samples)
     return;
   this->median_us = absl::ToInt64Microseconds(this->latency.Quantile(0.5));
-  this->quantile_us =
+  this->hedge_delay_us =
       absl::ToInt64Microseconds(this->latency.Quantile(kHedgeQuantile));
 }
 
-absl::Time HedgeTimer::HedgeAt(absl::Time sent, absl::Time deadline) const {
-  if (!this->usable)
+absl::Time HedgeTimer::HedgeTime(absl::Time sent, absl::Time deadline) const {
+  if (!this->has_enough_samples)
     return absl::InfiniteFuture();
-  const absl::Time at = sent + absl::Microseconds(this->quantile_us);
-  const absl::Time answer = at + absl::Microseconds(this->median_us);
-  return answer < deadline ? at : absl::InfiniteFuture();
+  const absl::Time hedge_time = sent + absl::Microseconds(this->hedge_delay_us);
+  const absl::Time expected_answer =
+      hedge_time + absl::Microseconds(this->median_us);
+  return expected_answer < deadline ? hedge_time : absl::InfiniteFuture();
 }
 
-LinkUse ToLinkUse(Urgency urgency) {
+TrafficClass ToTrafficClass(Urgency urgency) {
   switch (urgency) {
     case Urgency::kUrgent:
-      return LinkUse::kUrgent;
+      return TrafficClass::kUrgent;
     case Urgency::kNormal:
-      return LinkUse::kNormal;
+      return TrafficClass::kNormal;
     case Urgency::kBatch:
-      return LinkUse::kBatch;
+      return TrafficClass::kBatch;
   }
-  return LinkUse::kBatch;
+  return TrafficClass::kBatch;
 }
 
 LinkBudget::LinkBudget(int64_t bytes_per_second)
@@ -108,19 +110,21 @@
   this->refilled_at = std::max(this->refilled_at, now);
 }
 
-bool LinkBudget::TryTake(LinkUse use, int64_t bytes, absl::Time now) {
+bool LinkBudget::TryTake(TrafficClass traffic_class,
+                         int64_t bytes,
+                         absl::Time now) {
   this->Refill(now);
-  const double left = this->tokens - static_cast<double>(bytes);
-  const double leave =
-      kLeaveBehind[static_cast<size_t>(use)] * this->Capacity();
+  const double remaining = this->tokens - static_cast<double>(bytes);
+  const double reserved =
+      kReservedShares[static_cast<size_t>(traffic_class)] * this->Capacity();
   const bool full = this->tokens >= this->Capacity();
-  if (use != LinkUse::kControl && left < leave && !full)
+  if (traffic_class != TrafficClass::kControl && remaining < reserved && !full)
     return false;
-  this->tokens = left;
+  this->tokens = remaining;
   return true;
 }
 
-void LinkBudget::Settle(int64_t bytes, absl::Time now) {
+void LinkBudget::Adjust(int64_t bytes, absl::Time now) {
   this->Refill(now);
   this->tokens =
       std::min(this->Capacity(), this->tokens - static_cast<double>(bytes));
--- a/request/budget.h
+++ b/request/budget.h
@@ -1,20 +1,20 @@
 #ifndef REQUEST_BUDGET_H_
 #define REQUEST_BUDGET_H_
 
-// Budgets of additional work: retries, hedges, and bytes on the link between
-// regions.
+// Budgets that limit additional work: retries, hedges, and bytes on the link
+// between regions.
 //
 //   RetryBudget retries;
-//   retries.OnFirstAttempt();              // its first attempt has ended
-//   if (retries.TryTake()) ...             // retry, otherwise report
+//   retries.OnFirstAttempt();              // a first attempt has ended
+//   if (retries.TryTake()) ...             // retry; otherwise fail the request
 //
 //   HedgeTimer hedge_timer;
 //   hedge_timer.OnLatency(latency, now);
-//   absl::Time at = hedge_timer.HedgeAt(sent, deadline);
-//   ...                                    // at that time: HedgeBudget
+//   absl::Time hedge_time = hedge_timer.HedgeTime(sent, deadline);
+//   ...                                    // then: HedgeBudget::TryTake()
 //
 //   LinkBudget link(kLinkBytesPerSecond);
-//   if (link.TryTake(LinkUse::kNormal, bytes, now)) ...
+//   if (link.TryTake(TrafficClass::kNormal, bytes, now)) ...
 
 #include <algorithm>
 #include <array>
@@ -33,23 +33,27 @@
   { budget.TryTake() } -> std::same_as<bool>;
 };
 
-// Additional attempts as a share of first attempts. Unspent budget is kept up
-// to kMostSaved attempts, so that a long quiet time does not allow a storm.
+// Limits additional attempts to a share of the first attempts. An unspent
+// budget accumulates up to kMaxSaved attempts, so that a long time without
+// retries does not allow a retry storm.
 template <int Percent>
 class ShareBudget {
  public:
-  static constexpr int64_t kMostSaved = 100;
+  static constexpr int64_t kMaxSaved = 100;
 
-  // Counts a first attempt. Called when the attempt ends otherwise than by a
-  // refusal: a flood that is refused must not earn a budget for more load.
+  // Counts a first attempt. Called when an attempt ends with anything but a
+  // refusal: attempts that are refused in a flood must not allow more load.
   void OnFirstAttempt() {
-    this->hundredths = std::min(this->hundredths + Percent, kMostSaved * 100);
+    this->hundredths = std::min(this->hundredths + Percent, kMaxSaved * 100);
   }
 
-  // Attempts that may be taken.
-  double Left() const { return static_cast<double>(this->hundredths) / 100; }
+  // Attempts that the budget allows now.
+  double Remaining() const {
+    return static_cast<double>(this->hundredths) / 100;
+  }
 
-  // Takes one attempt out of the budget. False when it is spent.
+  // Takes one attempt out of the budget. Returns false when the budget is
+  // spent.
   bool TryTake() {
     if (this->hundredths < 100)
       return false;
@@ -58,92 +62,95 @@
   }
 
  private:
-  // In hundredths of an attempt: integers keep the share exact.
+  // The budget in hundredths of an attempt: integers keep the share exact.
   int64_t hundredths = 0;
 };
 
 using RetryBudget = ShareBudget<10>;
 using HedgeBudget = ShareBudget<5>;
 
-// Baseline: every attempt is allowed.
+// Allows every attempt, for comparison in benches.
 class UnlimitedBudget {
  public:
   void OnFirstAttempt() {}
   bool TryTake() { return true; }
 };
 
-// A quantile of latency in which old samples lose weight. Buckets grow by a
-// quarter of an octave, so the error is below 19%.
+// A latency histogram with quantiles in which the weight of old samples decays.
+// Each bucket is wider than the one before by a factor of 2^(1/4), so the error
+// of a quantile is below 19%.
 class DecayedQuantile {
  public:
   // Adds a sample. The weight of earlier ones halves every 10 s.
   void Add(absl::Duration latency, absl::Time now);
 
-  // The quantile `probability`, rounded up to its bucket; zero when there is
-  // no sample.
+  // The quantile of `probability` (0 to 1), rounded up to the upper bound of
+  // its bucket; zero when there is no sample.
   absl::Duration Quantile(double probability) const;
 
   // Decayed number of samples.
-  double Weight() const { return this->total; }
+  double TotalWeight() const { return this->total_weight; }
 
  private:
   static constexpr int kBuckets = 104;
   std::array<double, kBuckets> buckets = {};
-  double total = 0;
+  double total_weight = 0;
   absl::Time decayed_at = absl::InfinitePast();
 };
 
-// When an unanswered attempt is worth a hedge: after the 95% quantile of
-// latency, so that about one attempt in 20 qualifies.
+// Computes when to hedge an unanswered attempt: after the 95% quantile of the
+// latency, so that about one attempt in 20 is hedged.
 class HedgeTimer {
  public:
   void OnLatency(absl::Duration latency, absl::Time now);
 
-  // The time for a second attempt. InfiniteFuture when there are too few
-  // samples, or when a median answer to it would come after the deadline.
-  absl::Time HedgeAt(absl::Time sent, absl::Time deadline) const;
+  // The time to send a hedge for an attempt sent at `sent`. InfiniteFuture when
+  // there are too few samples, or when the hedge would miss the deadline at the
+  // median latency.
+  absl::Time HedgeTime(absl::Time sent, absl::Time deadline) const;
 
  private:
   DecayedQuantile latency;
-  // Reading a quantile walks over the buckets, so it is done every 100 samples.
-  int until_read = 1;
-  bool usable = false;
+  // Computing a quantile iterates over the buckets, so the quantiles below are
+  // refreshed every 100 samples.
+  int samples_until_refresh = 1;
+  bool has_enough_samples = false;
   int64_t median_us = 0;
-  int64_t quantile_us = 0;
+  int64_t hedge_delay_us = 0;
 };
 
-// What a message on the link between regions is for.
-enum class LinkUse : uint8_t {
+// Class of a message on the link between regions, most important first.
+enum class TrafficClass : uint8_t {
   kControl = 0,
   kUrgent = 1,
   kNormal = 2,
   kBatch = 3,
 };
 
-// The use of the link by a request of this urgency.
-LinkUse ToLinkUse(Urgency urgency);
+// The traffic class of a request with this urgency.
+TrafficClass ToTrafficClass(Urgency urgency);
 
-// The 30 Mbit/s of a link between regions, in bytes a second.
+// Rate of a link between regions: 30 Mbit/s, in bytes a second.
 inline constexpr int64_t kLinkBytesPerSecond = 30'000'000 / 8;
 
-// Token bucket of a link. Less urgent use must leave a part of the bucket to
-// more urgent use, and control traffic is never refused: it leaves a debt that
-// the others wait for.
+// Token bucket of a link. Less urgent traffic must leave a reserved part of the
+// bucket to more urgent traffic. Control traffic is never refused: it may make
+// the bucket negative, and all other traffic is refused until it has refilled.
 class LinkBudget {
  public:
-  // `bytes_per_second` is this process's part of the link.
+  // `bytes_per_second` is this process's share of the link.
   explicit LinkBudget(int64_t bytes_per_second);
 
   // Changes the rate, for instance when the number of entries changes.
   void SetRate(int64_t bytes_per_second, absl::Time now);
 
-  // Takes the bytes out of the bucket, or returns false and takes nothing. A
-  // message larger than the bucket passes when the bucket is full.
-  bool TryTake(LinkUse use, int64_t bytes, absl::Time now);
+  // Takes `bytes` out of the bucket, or returns false and takes nothing. A
+  // message larger than the bucket is allowed when the bucket is full.
+  bool TryTake(TrafficClass traffic_class, int64_t bytes, absl::Time now);
 
-  // Takes bytes that were sent beyond an estimate, or gives back (negative)
-  // those that were not.
-  void Settle(int64_t bytes, absl::Time now);
+  // Corrects an earlier estimate: takes the bytes that were sent beyond it, or
+  // returns those that were not sent (`bytes` below 0).
+  void Adjust(int64_t bytes, absl::Time now);
 
  private:
   void Refill(absl::Time now);
--- a/request/chooser.cc
+++ b/request/chooser.cc
@@ -10,48 +10,54 @@
 
 namespace {
 
-// Service time that is assumed before anything was measured.
+// Service time that is assumed before the first measurement.
 constexpr double kAssumedServiceUs = 1000;
-// Agents that have not reported yet are taken to have this many slots.
+// Number of slots that is assumed before an agent's first report.
 constexpr uint32_t kAssumedSlots = 8;
 // Service times within this factor of the median count as equal. Decayed means
-// of few samples differ by that much between equal upstreams, and following the
-// differences would concentrate the load.
+// of few samples differ by up to this factor between equally fast upstreams,
+// and following these differences would concentrate the load.
 constexpr double kNoiseFactor = 2;
-// A report says less and less about the running requests of an agent, and
-// nothing after this time.
-constexpr double kLoadAgeUs = 100e3;
-// A slow service time or a failure is forgotten over this time, so that an
-// upstream that nobody chooses is tried again.
-constexpr double kForgetUs = 5e6;
-// Weight of running requests below the number of slots. They cause no wait yet,
-// but of two idle upstreams the less loaded one is preferred.
+// The weight of the running requests in a load report decreases linearly to 0
+// over this time.
+constexpr double kLoadReportLifetimeUs = 100e3;
+// The weight of an unusual service time or of failures decreases linearly to 0
+// over this time, so that an upstream that is not chosen is tried again.
+constexpr double kHistoryLifetimeUs = 5e6;
+// Weight of running requests below the number of slots. They cause no wait, but
+// of two idle upstreams the less loaded one is preferred.
 constexpr double kBalanceWeight = 0.1;
+// Factor by which the failure share increases the expected service time.
 constexpr double kFailureWeight = 4;
-// Randomness of a wait in comparisons within a region. The reported wait is
-// that of all accounts together. When a flood keeps all agents at their limit,
-// small lasting differences of it would steer the other accounts away from the
-// same agents again and again, where then nobody uses their floors.
-constexpr double kWaitSpread = 0.5;
-constexpr int kSamplesEach = 2;
-constexpr int kDrawsEach = 6;
+// In comparisons within a region a wait is multiplied by a random factor that
+// differs from 1 by at most this much. The reported wait covers all client
+// accounts. When a flood keeps all agents at their limit, small persistent
+// differences in their waits would keep the other accounts away from the same
+// agents, and their guaranteed slots there would stay unused.
+constexpr double kWaitRandomness = 0.5;
+// Upstreams to evaluate from one list, and random draws to find them.
+constexpr int kSamplesPerList = 2;
+constexpr int kMaxDrawsPerList = 6;
 
-// Probes are this part of the requests, in thousandths: far below 1%, so that
-// they stay out of the 99% quantile.
-constexpr int kProbeShare = 2;
+// Each request earns this credit, and a probe costs kProbeCost: probes are 0.2%
+// of the requests, far below 1%, so that they do not affect the 99% quantile.
+constexpr int kProbeCreditPerRequest = 2;
 constexpr int kProbeCost = 1000;
-// Probes of one upstream are at least this far apart, and at low load at most.
-constexpr absl::Duration kProbeGap = absl::Milliseconds(50);
-constexpr absl::Duration kProbeAnyway = absl::Seconds(10);
-// Urgent requests probe only when no others were seen for this time.
-constexpr absl::Duration kRelaxedGap = absl::Seconds(2);
+// Shortest time between two probes of one upstream.
+constexpr absl::Duration kMinProbeInterval = absl::Milliseconds(50);
+// Longest time between two probes of one upstream, even without credit: low
+// load must not keep an upstream on probation.
+constexpr absl::Duration kMaxProbeInterval = absl::Seconds(10);
+// Urgent requests are probes only when none of lower urgency arrived within
+// this time.
+constexpr absl::Duration kNonUrgentWindow = absl::Seconds(2);
 
 double AgeUs(absl::Time then, absl::Time now) {
   return std::max(0.0, absl::ToDoubleMicroseconds(now - then));
 }
 
-double Fading(double age_us, double over_us) {
-  return std::max(0.0, 1 - age_us / over_us);
+double RemainingWeight(double age_us, double lifetime_us) {
+  return std::max(0.0, 1 - age_us / lifetime_us);
 }
 
 }  // namespace
@@ -60,12 +66,12 @@
   switch (error) {
     case ChooseError::kUnknownService:
       return "no upstream announces the service";
-    case ChooseError::kNoneReady:
+    case ChooseError::kNoneUsable:
       return "all upstreams of the service are leaving or down";
     case ChooseError::kAllExcluded:
-      return "all ready upstreams of the service were tried";
-    case ChooseError::kLinkBusy:
-      return "the link to the other regions has no room";
+      return "the caller excluded all usable upstreams of the service";
+    case ChooseError::kLinkBudgetSpent:
+      return "the link budget for other regions is spent";
   }
   return "unknown";
 }
@@ -95,10 +101,10 @@
   std::vector<Upstream> updated;
   updated.reserve(infos.size());
   for (const UpstreamInfo& info : infos) {
-    const Upstream* known = this->Find(info.name);
+    const Upstream* previous = this->Find(info.name);
     Upstream upstream;
-    if (known != nullptr && known->info.incarnation == info.incarnation)
-      upstream = *known;
+    if (previous != nullptr && previous->info.incarnation == info.incarnation)
+      upstream = *previous;
     upstream.info = info;
     upstream.distance = this->DistanceTo(info);
     upstream.round_trip_us =
@@ -136,20 +142,20 @@
   const Upstream& upstream = this->upstreams[index];
   if (!IsUsable(upstream))
     return false;
-  const auto same = [index](const Compared& other) {
+  const auto same = [index](const EvaluatedUpstream& other) {
     return other.index == index;
   };
-  if (std::any_of(search.compared.begin(), search.compared.end(), same))
+  if (std::any_of(search.evaluated.begin(), search.evaluated.end(), same))
     return false;
   const std::vector<std::string>& excluded = *search.excluded;
   return std::find(excluded.begin(), excluded.end(), upstream.info.name) ==
          excluded.end();
 }
 
-// Expected time from the start of a request to its answer.
-double UpstreamChooser::ServiceUs(const Upstream& upstream,
-                                  const Pool& pool,
-                                  absl::Time now) const {
+// Expected time from the start of a request at the upstream to its answer.
+double UpstreamChooser::ExpectedServiceUs(const Upstream& upstream,
+                                          const Pool& pool,
+                                          absl::Time now) const {
   const bool reported = upstream.load.service_us > 0;
   const double median =
       reported ? pool.median_service_us : pool.median_latency_us;
@@ -161,96 +167,109 @@
     return own;
   if (own < median * kNoiseFactor && own > median / kNoiseFactor)
     return median;
-  const double weight = Fading(AgeUs(upstream.load_at, now), kForgetUs);
+  const double weight = RemainingWeight(AgeUs(upstream.load_reported_at, now),
+                                        kHistoryLifetimeUs);
   return median + (own - median) * weight;
 }
 
-UpstreamChooser::Estimate UpstreamChooser::MakeEstimate(
+UpstreamChooser::LatencyEstimate UpstreamChooser::EstimateLatency(
     const Upstream& upstream,
     const Search& search) const {
-  const double service_us = this->ServiceUs(upstream, *search.pool, search.now);
+  const double service_us =
+      this->ExpectedServiceUs(upstream, *search.pool, search.now);
   const AgentLoad& load = upstream.load;
   const double slots = load.slots > 0 ? load.slots : kAssumedSlots;
-  const double age_us = AgeUs(upstream.load_at, search.now);
-  // Batch work waits behind everything, other work as the agent reports.
+  const double age_us = AgeUs(upstream.load_reported_at, search.now);
+  // The reported wait is that of normal urgency. Batch requests wait behind all
+  // queued requests.
   double queue_us = static_cast<double>(load.wait_us);
   if (search.urgency == Urgency::kBatch)
     queue_us = std::max(queue_us, load.queued * service_us / slots);
   const double wait_us = std::max(0.0, queue_us - age_us);
-  const double busy = load.running * Fading(age_us, kLoadAgeUs) +
-                      std::min(upstream.sent_since_load, upstream.in_flight);
+  const double busy =
+      load.running * RemainingWeight(age_us, kLoadReportLifetimeUs) +
+      std::min(upstream.sent_since_report, upstream.in_flight);
   const double excess = std::max(0.0, busy + 1 - slots);
   const double load_us = service_us / slots * (excess + kBalanceWeight * busy);
-  const double failures =
-      upstream.failures *
-      Fading(AgeUs(upstream.failed_at, search.now), kForgetUs);
-  Estimate estimate;
+  const double failure_share =
+      upstream.failure_share *
+      RemainingWeight(AgeUs(upstream.last_failure_at, search.now),
+                      kHistoryLifetimeUs);
+  LatencyEstimate estimate;
   estimate.wait_us = wait_us;
-  estimate.other_us = service_us * (1 + kFailureWeight * failures) + load_us +
-                      static_cast<double>(upstream.round_trip_us);
+  estimate.non_wait_us = service_us * (1 + kFailureWeight * failure_share) +
+                         load_us + static_cast<double>(upstream.round_trip_us);
   return estimate;
 }
 
-void UpstreamChooser::Compare(Search* search,
-                              uint32_t index,
-                              absl::BitGenRef random) const {
-  const Estimate estimate = this->MakeEstimate(this->upstreams[index], *search);
-  const double spread = absl::Uniform(random, 1 - kWaitSpread, 1 + kWaitSpread);
-  search->compared.push_back({index, estimate.wait_us + estimate.other_us,
-                              estimate.wait_us * spread + estimate.other_us});
+void UpstreamChooser::Evaluate(Search* search,
+                               uint32_t index,
+                               absl::BitGenRef random) const {
+  const LatencyEstimate estimate =
+      this->EstimateLatency(this->upstreams[index], *search);
+  const double wait_factor =
+      absl::Uniform(random, 1 - kWaitRandomness, 1 + kWaitRandomness);
+  search->evaluated.push_back(
+      {index, estimate.wait_us + estimate.non_wait_us,
+       estimate.wait_us * wait_factor + estimate.non_wait_us});
 }
 
-void UpstreamChooser::Sample(Search* search,
-                             const std::vector<uint32_t>& from,
-                             absl::BitGenRef random) const {
+void UpstreamChooser::SampleFrom(Search* search,
+                                 const std::vector<uint32_t>& from,
+                                 absl::BitGenRef random) const {
   if (from.empty())
     return;
   int found = 0;
-  for (int draw = 0; draw < kDrawsEach && found < kSamplesEach; ++draw) {
+  for (int draw = 0; draw < kMaxDrawsPerList && found < kSamplesPerList;
+       ++draw) {
     const uint32_t index = from[absl::Uniform<size_t>(random, 0, from.size())];
     if (!this->IsCandidate(*search, index))
       continue;
-    this->Compare(search, index, random);
+    this->Evaluate(search, index, random);
     ++found;
   }
   if (found > 0)
     return;
-  // Nearly all are excluded: look at each, from a random place.
+  // No random draw found a candidate, as nearly all upstreams are excluded:
+  // check all of them, starting at a random index.
   const size_t start = absl::Uniform<size_t>(random, 0, from.size());
-  for (size_t i = 0; i < from.size() && found < kSamplesEach; ++i) {
+  for (size_t i = 0; i < from.size() && found < kSamplesPerList; ++i) {
     const uint32_t index = from[(start + i) % from.size()];
     if (!this->IsCandidate(*search, index))
       continue;
-    this->Compare(search, index, random);
+    this->Evaluate(search, index, random);
     ++found;
   }
 }
 
-const UpstreamChooser::Compared* UpstreamChooser::BestIn(
+const UpstreamChooser::EvaluatedUpstream* UpstreamChooser::BestIn(
     const Search& search,
     bool other_regions) const {
-  const Compared* best = nullptr;
-  for (const Compared& compared : search.compared) {
-    const Distance distance = this->upstreams[compared.index].distance;
+  const EvaluatedUpstream* best = nullptr;
+  for (const EvaluatedUpstream& evaluated : search.evaluated) {
+    const Distance distance = this->upstreams[evaluated.index].distance;
     if ((distance == Distance::kOtherRegion) != other_regions)
       continue;
-    if (best == nullptr || compared.rank_us < best->rank_us)
-      best = &compared;
+    if (best == nullptr || evaluated.randomized_us < best->randomized_us)
+      best = &evaluated;
   }
   return best;
 }
 
-const UpstreamChooser::Compared* UpstreamChooser::Best(
+const UpstreamChooser::EvaluatedUpstream* UpstreamChooser::Best(
     const Search& search) const {
-  const Compared* near = this->BestIn(search, false);
-  const Compared* far = this->BestIn(search, true);
-  if (near == nullptr || far == nullptr)
-    return near == nullptr ? far : near;
-  return far->estimate_us < near->estimate_us ? far : near;
+  const EvaluatedUpstream* best_in_region = this->BestIn(search, false);
+  const EvaluatedUpstream* best_elsewhere = this->BestIn(search, true);
+  if (best_in_region == nullptr || best_elsewhere == nullptr)
+    return best_in_region == nullptr ? best_elsewhere : best_in_region;
+  return best_elsewhere->estimate_us < best_in_region->estimate_us
+             ? best_elsewhere
+             : best_in_region;
 }
 
-// Samples near upstreams, and farther ones only while the best one so far is
-// worse than an idle one at that distance.
+// Samples upstreams by increasing distance. Those of a distance are sampled
+// only when the best one so far is worse than an idle upstream at that
+// distance.
 void UpstreamChooser::SampleByDistance(Search* search,
                                        absl::BitGenRef random) const {
   const Pool& pool = *search->pool;
@@ -261,11 +280,11 @@
       0, this->settings.domain_round_trip_us,
       this->settings.region_round_trip_us};
   for (size_t distance = 0; distance < kDistanceCount; ++distance) {
-    const Compared* best = this->Best(*search);
-    const double reach_us =
+    const EvaluatedUpstream* best = this->Best(*search);
+    const double idle_estimate_us =
         idle_us + static_cast<double>(round_trips_us[distance]);
-    if (best == nullptr || best->estimate_us > reach_us)
-      this->Sample(search, pool.ready[distance], random);
+    if (best == nullptr || best->estimate_us > idle_estimate_us)
+      this->SampleFrom(search, pool.ready[distance], random);
   }
 }
 
@@ -273,65 +292,67 @@
                                                    absl::BitGenRef random) {
   Pool* pool = search->pool;
   if (search->urgency != Urgency::kUrgent)
-    pool->relaxed_at = search->now;
+    pool->last_non_urgent_at = search->now;
   if (pool->on_probation.empty())
     return std::nullopt;
-  pool->probe_credit = std::min(pool->probe_credit + kProbeShare, kProbeCost);
+  pool->probe_credit =
+      std::min(pool->probe_credit + kProbeCreditPerRequest, kProbeCost);
   if (search->urgency == Urgency::kUrgent &&
-      search->now - pool->relaxed_at < kRelaxedGap)
+      search->now - pool->last_non_urgent_at < kNonUrgentWindow)
     return std::nullopt;
   for (const uint32_t index : pool->on_probation) {
     Upstream& upstream = this->upstreams[index];
-    const absl::Duration since = search->now - upstream.probed_at;
-    const bool due = since >= kProbeAnyway ||
-                     (since >= kProbeGap && pool->probe_credit >= kProbeCost);
-    // Other regions are probed when they are needed: probes must not use up
-    // the link.
+    const absl::Duration since = search->now - upstream.last_probe_at;
+    const bool due =
+        since >= kMaxProbeInterval ||
+        (since >= kMinProbeInterval && pool->probe_credit >= kProbeCost);
+    // Upstreams of other regions are not probed, as probes must not use the
+    // link budget. Pick() uses them without a probe when it finds no other one.
     if (!due || !upstream.on_probation ||
         upstream.distance == Distance::kOtherRegion ||
         !this->IsCandidate(*search, index))
       continue;
-    upstream.probed_at = search->now;
+    upstream.last_probe_at = search->now;
     pool->probe_credit = 0;
-    this->Compare(search, index, random);
+    this->Evaluate(search, index, random);
     return index;
   }
   return std::nullopt;
 }
 
-ChooseError UpstreamChooser::WhyNone(const Search& search) const {
+ChooseError UpstreamChooser::ErrorWithoutCandidate(const Search& search) const {
   for (const uint32_t index : search.pool->members) {
     if (IsUsable(this->upstreams[index]))
       return ChooseError::kAllExcluded;
   }
-  return ChooseError::kNoneReady;
+  return ChooseError::kNoneUsable;
 }
 
 Result<uint32_t> UpstreamChooser::Pick(Search* search,
                                        int64_t bytes,
                                        absl::BitGenRef random) const {
   this->SampleByDistance(search, random);
-  if (search->compared.empty())
-    this->Sample(search, search->pool->on_probation, random);
-  if (search->compared.empty())
-    this->Sample(search, search->pool->last_resort, random);
-  const Compared* best = this->Best(*search);
+  if (search->evaluated.empty())
+    this->SampleFrom(search, search->pool->on_probation, random);
+  if (search->evaluated.empty())
+    this->SampleFrom(search, search->pool->last_resort, random);
+  const EvaluatedUpstream* best = this->Best(*search);
   if (best == nullptr)
-    return this->WhyNone(*search);
+    return this->ErrorWithoutCandidate(*search);
   const bool remote =
       this->upstreams[best->index].distance == Distance::kOtherRegion;
   if (!remote || this->link == nullptr ||
-      this->link->TryTake(ToLinkUse(search->urgency), bytes, search->now))
+      this->link->TryTake(ToTrafficClass(search->urgency), bytes, search->now))
     return best->index;
   if (this->BestIn(*search, false) == nullptr) {
-    // Upstreams on probation are better than none.
-    this->Sample(search, search->pool->on_probation, random);
-    this->Sample(search, search->pool->last_resort, random);
+    // An upstream on probation is better than refusing the request.
+    this->SampleFrom(search, search->pool->on_probation, random);
+    this->SampleFrom(search, search->pool->last_resort, random);
   }
-  const Compared* near = this->BestIn(*search, false);
-  if (near == nullptr)
-    return ChooseError::kLinkBusy;
-  return near->index;
+  const EvaluatedUpstream* best_in_region = this->BestIn(*search, false);
+  if (best_in_region == nullptr)
+    return ChooseError::kLinkBudgetSpent;
+  return best_in_region->index;
 }
 
 UpstreamChoice UpstreamChooser::MakeChoice(const Search& search,
@@ -345,11 +366,11 @@
   choice.incarnation = upstream.info.incarnation;
   choice.distance = upstream.distance;
   choice.probe = probe;
-  choice.candidates.reserve(search.compared.size());
-  for (const Compared& compared : search.compared) {
-    const Upstream& other = this->upstreams[compared.index];
+  choice.candidates.reserve(search.evaluated.size());
+  for (const EvaluatedUpstream& evaluated : search.evaluated) {
+    const Upstream& other = this->upstreams[evaluated.index];
     choice.candidates.push_back({other.info.name,
-                                 static_cast<int64_t>(compared.estimate_us),
+                                 static_cast<int64_t>(evaluated.estimate_us),
                                  other.in_flight});
   }
   return choice;
@@ -370,7 +391,7 @@
   search.urgency = request_class.urgency;
   search.now = now;
   search.excluded = &excluded;
-  search.compared.reserve(kSamplesEach * kDistanceCount);
+  search.evaluated.reserve(kSamplesPerList * kDistanceCount);
   this->Review(search.pool, now);
   if (const std::optional<uint32_t> probe = this->FindProbe(&search, random))
     return this->MakeChoice(search, *probe, true);
--- a/request/chooser.h
+++ b/request/chooser.h
@@ -5,27 +5,27 @@
 //
 //   UpstreamChooser chooser({.failure_domain = "erie-a", .region = "erie"},
 //                           &link);
-//   chooser.SetUpstreams(known, now);          // on each membership change
+//   chooser.SetUpstreams(infos, now);          // on each membership change
 //   Result<UpstreamChoice> choice =
 //       chooser.Choose("slot-check", request_class, now, {}, bit_gen);
 //   if (!choice) ...                           // typed reason: ChooseError
 //   chooser.OnSent(choice.value().name);
 //   chooser.OnAnswer(choice.value().name, load, latency, now);
 //
-// Each attempt that was announced with OnSent() ends with exactly one of
-// OnAnswer(), OnRefused(), OnFailure() and OnAbandoned().
+// Each attempt reported with OnSent() ends with exactly one of OnAnswer(),
+// OnRefused(), OnFailure() and OnAbandoned().
 //
-// Two random upstreams of the same failure domain are compared by expected
-// latency: decayed latency, and the wait behind the requests that their agents
-// reported and that this entry has sent since. When the better one is busy,
-// others of the same region join the comparison at the cost of their round
-// trip, then other regions if the link budget allows. Entries decide
-// independently; comparing a few random candidates, and not all, keeps them
-// from sending to the same upstream at the same time.
+// The chooser compares two random upstreams of the entry's failure domain by
+// expected latency: the decayed mean service time, and the wait behind the
+// requests that the agent reported and those that this entry has sent since.
+// When the better one is busy, upstreams of the same region join the comparison
+// with their round trip added, then those of other regions if the link budget
+// allows. Entries decide independently; comparing a few random candidates
+// instead of all keeps them from sending to the same upstream at the same time.
 //
-// An upstream whose latency or failures are far from those of its peers is put
-// on probation: it receives only a small share of requests as probes, the least
-// urgent ones where there are any, until several in a row go well.
+// An upstream whose latency or failure share is far above that of its peers is
+// put on probation: it receives only a small share of the requests as probes,
+// preferably less urgent ones, until several probes in a row succeed.
 
 #include <array>
 #include <compare>
@@ -44,12 +44,12 @@
 
 namespace cuminjunction {
 
-// What membership knows about an upstream.
+// State of an upstream as reported by membership.
 enum class UpstreamState : uint8_t {
   kReady = 0,
   // Silent for a while; used only when no upstream is ready.
   kSuspect = 1,
-  // Behind a cut link; used only when no upstream is ready.
+  // Behind a failed network link; used only when no upstream is ready.
   kUnreachable = 2,
   kLeaving = 3,
   kDown = 4,
@@ -69,16 +69,17 @@
   auto operator<=>(const UpstreamInfo&) const = default;
 };
 
-// Why no upstream was chosen. Nothing was sent, so the request was not run.
+// Reason for which no upstream was chosen. Nothing was sent, so the request has
+// not run.
 enum class ChooseError {
   // No upstream has announced the service.
   kUnknownService = 1,
   // All upstreams of the service are leaving or down.
-  kNoneReady,
-  // All upstreams that are ready were excluded by the caller.
+  kNoneUsable,
+  // The caller excluded all usable upstreams.
   kAllExcluded,
-  // Only upstreams of another region are left, and the link has no room.
-  kLinkBusy,
+  // Only upstreams of other regions are left, and the link budget is spent.
+  kLinkBudgetSpent,
 };
 
 template <>
@@ -87,7 +88,7 @@
   static std::string_view Message(ChooseError error);
 };
 
-// Where an upstream is as seen from the entry.
+// Distance from the entry to an upstream.
 enum class Distance : uint8_t {
   kSameFailureDomain = 0,
   kSameRegion = 1,
@@ -96,11 +97,12 @@
 
 inline constexpr int kDistanceCount = 3;
 
-// A compared upstream, for the log line of the decision.
+// An evaluated upstream, for the log line of the decision.
 struct Candidate {
   std::string name;
-  // Expected latency in microseconds, with the round trip.
+  // Expected latency in microseconds, including the round trip.
   int64_t estimate_us = 0;
+  // Attempts of this entry that await an answer.
   uint32_t outstanding = 0;
 
   bool operator==(const Candidate&) const = default;
@@ -112,7 +114,7 @@
   uint16_t port = 0;
   uint64_t incarnation = 0;
   Distance distance = Distance::kSameFailureDomain;
-  // The upstream is on probation and this request probes it.
+  // The upstream is on probation and this request is a probe.
   bool probe = false;
   std::vector<Candidate> candidates;
 };
@@ -121,12 +123,12 @@
   // Location of the entry.
   std::string failure_domain;
   std::string region;
-  // Round trips between failure domains of a region, and between regions.
+  // Round trip times between failure domains of a region, and between regions.
   int64_t domain_round_trip_us = 1000;
   int64_t region_round_trip_us = 24000;
 };
 
-// Chooses an upstream for each attempt.
+// A policy that chooses an upstream for each attempt.
 template <class C>
 concept Chooser = requires(C& chooser,
                            const std::vector<UpstreamInfo>& upstreams,
@@ -149,17 +151,18 @@
 
 class UpstreamChooser {
  public:
-  // `link` is the budget of the link between regions and must outlive this
+  // `link` is the budget of the link to other regions and must outlive this
   // object; null means that the link is not limited.
   UpstreamChooser(ChooserSettings settings, LinkBudget* link);
 
-  // Replaces the known upstreams. Statistics of those that stay are kept; a
-  // new incarnation starts afresh.
+  // Replaces the set of upstreams. An upstream that was in the old set keeps
+  // its statistics unless its incarnation has changed.
   void SetUpstreams(const std::vector<UpstreamInfo>& upstreams, absl::Time now);
 
   // Chooses an upstream of the service that is not in `excluded`. `bytes` is
-  // the expected size of request and answer, taken from the link budget when
-  // the choice is in another region. Fails with a ChooseError.
+  // the expected size of the request and its answer, which is taken from the
+  // link budget when the chosen upstream is in another region. Fails with a
+  // ChooseError.
   Result<UpstreamChoice> Choose(std::string_view service,
                                 const RequestClass& request_class,
                                 absl::Time now,
@@ -170,7 +173,7 @@
   // The attempt was written to the agent's socket.
   void OnSent(std::string_view name);
 
-  // A whole answer arrived `latency` after it was sent.
+  // The whole answer arrived, `latency` after the attempt was sent.
   void OnAnswer(std::string_view name,
                 const AgentLoad& load,
                 absl::Duration latency,
@@ -182,17 +185,19 @@
                  const AgentLoad& load,
                  absl::Time now);
 
-  // The connection or the answer broke, or the upstream failed.
+  // The connection closed before the whole answer arrived, or the upstream
+  // failed.
   void OnFailure(std::string_view name, absl::Time now);
 
-  // The entry gave up on the attempt `elapsed` after it was sent, because
-  // another one answered first, the caller left, or the deadline passed.
+  // The entry abandoned the attempt, `elapsed` after it was sent, because
+  // another attempt was answered first, the caller disconnected, or the
+  // deadline passed.
   void OnAbandoned(std::string_view name,
                    absl::Duration elapsed,
                    absl::Time now);
 
-  // The agent announced on its connection that it is leaving. Holds until
-  // membership reports another incarnation.
+  // The agent announced on its connection that it is leaving. The upstream
+  // receives no requests until membership reports another incarnation.
   void OnLeaving(std::string_view name);
 
   bool IsOnProbation(std::string_view name) const;
@@ -203,69 +208,70 @@
     Distance distance = Distance::kSameFailureDomain;
     int64_t round_trip_us = 0;
     bool leaving = false;
-    // Attempts of this entry without an end yet.
+    // Attempts of this entry that have not ended.
     uint32_t in_flight = 0;
-    // Last report of the agent, its time, and attempts sent since.
+    // Last load report of the agent, the time it arrived, and the number of
+    // attempts sent since.
     AgentLoad load;
-    absl::Time load_at = absl::InfinitePast();
-    uint32_t sent_since_load = 0;
-    // Last report of a queue.
-    absl::Time queue_seen_at = absl::InfinitePast();
-    // Decayed latency without the round trip between failure domains.
+    absl::Time load_reported_at = absl::InfinitePast();
+    uint32_t sent_since_report = 0;
+    // Time of the last load report with queued requests.
+    absl::Time queue_reported_at = absl::InfinitePast();
+    // Decayed mean latency without the round trip from the entry.
     double latency_us = 0;
     uint32_t latency_samples = 0;
     uint32_t answers = 0;
-    // Decayed share of failed attempts, failures in a row, last failure.
-    double failures = 0;
-    uint32_t failures_in_row = 0;
-    absl::Time failed_at = absl::InfinitePast();
+    // Decayed share of failed attempts.
+    double failure_share = 0;
+    uint32_t consecutive_failures = 0;
+    absl::Time last_failure_at = absl::InfinitePast();
     bool on_probation = false;
-    // Probes in a row that went well.
-    uint32_t good_probes = 0;
-    absl::Time probed_at = absl::InfinitePast();
-    // Medians of the upstreams that it was last compared with.
+    uint32_t consecutive_good_probes = 0;
+    absl::Time last_probe_at = absl::InfinitePast();
+    // Medians of its pool at the last review.
     double median_latency_us = 0;
     double median_service_us = 0;
   };
 
-  // The upstreams of one service, as indices. `members` has all of them, the
-  // lists below those that may be chosen.
+  // The upstreams of one service, as indices into `upstreams`. `members` has
+  // all of them; the lists below have those that may be chosen.
   struct Pool {
     std::vector<uint32_t> members;
     std::array<std::vector<uint32_t>, kDistanceCount> ready;
     std::vector<uint32_t> on_probation;
-    // Silent or unreachable upstreams.
+    // Suspect and unreachable upstreams.
     std::vector<uint32_t> last_resort;
     double median_latency_us = 0;
     double median_service_us = 0;
-    double median_failures = 0;
+    double median_failure_share = 0;
     absl::Time reviewed_at = absl::InfinitePast();
     uint64_t reviewed_generation = 0;
-    // Thousandths of a probe earned by requests.
+    // Probes earned by requests, in thousandths.
     int probe_credit = 0;
-    // When a request that is not urgent was last seen.
-    absl::Time relaxed_at = absl::InfinitePast();
+    // Time of the last request that was not urgent.
+    absl::Time last_non_urgent_at = absl::InfinitePast();
   };
 
-  struct Compared {
+  struct EvaluatedUpstream {
     uint32_t index = 0;
     double estimate_us = 0;
-    // The estimate with some randomness in its wait.
-    double rank_us = 0;
+    // The estimate with its wait multiplied by a random factor.
+    double randomized_us = 0;
   };
 
-  struct Estimate {
+  // Expected latency: the wait in the agent's queue, and all other parts.
+  struct LatencyEstimate {
     double wait_us = 0;
-    double other_us = 0;
+    double non_wait_us = 0;
   };
 
-  // The state of one decision.
+  // The state of one call of Choose().
   struct Search {
     Pool* pool = nullptr;
     Urgency urgency = Urgency::kNormal;
     absl::Time now;
     const std::vector<std::string>* excluded = nullptr;
-    std::vector<Compared> compared;
+    std::vector<EvaluatedUpstream> evaluated;
   };
 
   Upstream* Find(std::string_view name);
@@ -274,26 +280,28 @@
   void Review(Pool* pool, absl::Time now);
   void SetMedians(Pool* pool);
   void MarkOutliers(Pool* pool, absl::Time now);
-  void Sort(Pool* pool);
+  void RebuildLists(Pool* pool);
   static bool IsOutlier(const Upstream& upstream, const Pool& pool);
   static bool IsUsable(const Upstream& upstream);
   bool IsCandidate(const Search& search, uint32_t index) const;
-  double ServiceUs(const Upstream& upstream,
-                   const Pool& pool,
-                   absl::Time now) const;
-  Estimate MakeEstimate(const Upstream& upstream, const Search& search) const;
-  void Compare(Search* search, uint32_t index, absl::BitGenRef random) const;
-  void Sample(Search* search,
-              const std::vector<uint32_t>& from,
-              absl::BitGenRef random) const;
-  const Compared* BestIn(const Search& search, bool other_regions) const;
-  const Compared* Best(const Search& search) const;
+  double ExpectedServiceUs(const Upstream& upstream,
+                           const Pool& pool,
+                           absl::Time now) const;
+  LatencyEstimate EstimateLatency(const Upstream& upstream,
+                                  const Search& search) const;
+  void Evaluate(Search* search, uint32_t index, absl::BitGenRef random) const;
+  void SampleFrom(Search* search,
+                  const std::vector<uint32_t>& from,
+                  absl::BitGenRef random) const;
+  const EvaluatedUpstream* BestIn(const Search& search,
+                                  bool other_regions) const;
+  const EvaluatedUpstream* Best(const Search& search) const;
   void SampleByDistance(Search* search, absl::BitGenRef random) const;
   std::optional<uint32_t> FindProbe(Search* search, absl::BitGenRef random);
   Result<uint32_t> Pick(Search* search,
                         int64_t bytes,
                         absl::BitGenRef random) const;
-  ChooseError WhyNone(const Search& search) const;
+  ChooseError ErrorWithoutCandidate(const Search& search) const;
   UpstreamChoice MakeChoice(const Search& search,
                             uint32_t index,
                             bool probe) const;
@@ -305,7 +313,7 @@
                          absl::Duration latency,
                          absl::Time now);
   static void AddOutcome(Upstream* upstream, bool failed, absl::Time now);
-  static void JudgeProbe(Upstream* upstream, bool good);
+  static void RecordProbe(Upstream* upstream, bool good);
   static bool IsGoodProbe(const Upstream& upstream, absl::Duration latency);
 
   ChooserSettings settings;
--- a/request/chooser_feedback.cc
+++ b/request/chooser_feedback.cc
@@ -1,5 +1,5 @@
-// What the chooser learns from the ends of attempts, and the review of
-// upstreams against their peers.
+// Statistics that the chooser collects from ended attempts, and the periodic
+// comparison of each upstream with its peers.
 
 #include <algorithm>
 #include <cmath>
@@ -11,24 +11,30 @@
 namespace {
 
 constexpr absl::Duration kReviewInterval = absl::Milliseconds(100);
-// Until the first answers are known, upstreams that have answered look worse
-// than those that have not.
+// Interval before the first latency median. Until then, upstreams that have
+// answered are estimated as slower than those that have not.
 constexpr absl::Duration kFirstReviewInterval = absl::Milliseconds(1);
-// Weight of one sample in the decayed latency and in the share of failures.
+// Weight of one sample in the decayed mean latency.
 constexpr double kSampleWeight = 0.1;
+// Weight of one attempt in the decayed failure share.
 constexpr double kFailureSampleWeight = 0.2;
 // An upstream this many times slower than the median of its peers is an
-// outlier. With fewer samples one slow answer would be enough.
+// outlier.
 constexpr double kOutlierFactor = 3;
-constexpr uint32_t kOutlierSamples = 5;
-// Differences below this are never worth a probation.
-constexpr double kOutlierFloorUs = 1000;
-constexpr double kOutlierFailures = 0.5;
-constexpr double kPeerFailures = 0.25;
-constexpr uint32_t kOutlierFailuresInRow = 3;
-// Probes in a row that end a probation: fewer when the agent's own mean agrees.
-constexpr uint32_t kGoodProbes = 3;
-constexpr uint32_t kGoodProbesAlone = 10;
+// With fewer samples one slow answer would make an outlier.
+constexpr uint32_t kMinOutlierSamples = 5;
+// A smaller excess over the median never causes probation.
+constexpr double kMinOutlierExcessUs = 1000;
+// An upstream with a larger failure share or with this many consecutive
+// failures is an outlier, but only while the median failure share of its pool
+// is below kMaxPeerFailureShare.
+constexpr double kOutlierFailureShare = 0.5;
+constexpr double kMaxPeerFailureShare = 0.25;
+constexpr uint32_t kOutlierConsecutiveFailures = 3;
+// Consecutive good probes that end a probation: fewer when the mean service
+// time that the agent reports is at most kRecoveredFactor times the median.
+constexpr uint32_t kProbesToRecover = 3;
+constexpr uint32_t kProbesToRecoverUnconfirmed = 10;
 constexpr double kRecoveredFactor = 2;
 
 // The lower median; 0 when there are no values.
@@ -53,13 +59,13 @@
   pool->reviewed_generation = this->generation;
   this->SetMedians(pool);
   this->MarkOutliers(pool, now);
-  this->Sort(pool);
+  this->RebuildLists(pool);
 }
 
 void UpstreamChooser::SetMedians(Pool* pool) {
   std::vector<double> latencies;
-  std::vector<double> services;
-  std::vector<double> failures;
+  std::vector<double> service_times;
+  std::vector<double> failure_shares;
   for (const uint32_t index : pool->members) {
     const Upstream& upstream = this->upstreams[index];
     if (!IsUsable(upstream))
@@ -67,12 +73,12 @@
     if (upstream.latency_us > 0)
       latencies.push_back(upstream.latency_us);
     if (upstream.load.service_us > 0)
-      services.push_back(static_cast<double>(upstream.load.service_us));
-    failures.push_back(upstream.failures);
+      service_times.push_back(static_cast<double>(upstream.load.service_us));
+    failure_shares.push_back(upstream.failure_share);
   }
   pool->median_latency_us = Median(&latencies);
-  pool->median_service_us = Median(&services);
-  pool->median_failures = Median(&failures);
+  pool->median_service_us = Median(&service_times);
+  pool->median_failure_share = Median(&failure_shares);
   for (const uint32_t index : pool->members) {
     this->upstreams[index].median_latency_us = pool->median_latency_us;
     this->upstreams[index].median_service_us = pool->median_service_us;
@@ -80,22 +86,22 @@
 }
 
 bool UpstreamChooser::IsOutlier(const Upstream& upstream, const Pool& pool) {
-  if (pool.median_failures < kPeerFailures &&
-      (upstream.failures_in_row >= kOutlierFailuresInRow ||
-       upstream.failures > kOutlierFailures))
+  if (pool.median_failure_share < kMaxPeerFailureShare &&
+      (upstream.consecutive_failures >= kOutlierConsecutiveFailures ||
+       upstream.failure_share > kOutlierFailureShare))
     return true;
-  const auto far = [](double own, double median) {
-    return median > 0 && own > median * kOutlierFactor + kOutlierFloorUs;
+  const auto is_far_above = [](double own, double median) {
+    return median > 0 && own > median * kOutlierFactor + kMinOutlierExcessUs;
   };
-  return (upstream.latency_samples >= kOutlierSamples &&
-          far(upstream.latency_us, pool.median_latency_us)) ||
-         (upstream.answers >= kOutlierSamples &&
-          far(static_cast<double>(upstream.load.service_us),
-              pool.median_service_us));
+  return (upstream.latency_samples >= kMinOutlierSamples &&
+          is_far_above(upstream.latency_us, pool.median_latency_us)) ||
+         (upstream.answers >= kMinOutlierSamples &&
+          is_far_above(static_cast<double>(upstream.load.service_us),
+                       pool.median_service_us));
 }
 
-// At most half of the upstreams are on probation at a time: when more of them
-// are slow, the load is the cause, and the rest could not carry it.
+// At most half of the usable upstreams are on probation at a time: when more of
+// them are slow, the load is the cause, and the others could not serve it.
 void UpstreamChooser::MarkOutliers(Pool* pool, absl::Time now) {
   size_t usable = 0;
   size_t on_probation = 0;
@@ -109,13 +115,13 @@
         !IsOutlier(upstream, *pool))
       continue;
     upstream.on_probation = true;
-    upstream.good_probes = 0;
-    upstream.probed_at = now;
+    upstream.consecutive_good_probes = 0;
+    upstream.last_probe_at = now;
     ++on_probation;
   }
 }
 
-void UpstreamChooser::Sort(Pool* pool) {
+void UpstreamChooser::RebuildLists(Pool* pool) {
   for (std::vector<uint32_t>& list : pool->ready)
     list.clear();
   pool->on_probation.clear();
@@ -141,26 +147,26 @@
                               const AgentLoad& load,
                               absl::Time now) {
   upstream->load = load;
-  upstream->load_at = now;
-  upstream->sent_since_load = 0;
+  upstream->load_reported_at = now;
+  upstream->sent_since_report = 0;
   if (load.queued > 0)
-    upstream->queue_seen_at = now;
+    upstream->queue_reported_at = now;
 }
 
-// Takes a latency as a sample, or returns false: once a queue was seen after
-// the attempt was sent, the latency tells about the load and not about the
-// upstream.
+// Adds a sample to the decayed mean latency. Returns false and adds nothing
+// when the agent has reported queued requests since the attempt was sent: such
+// a latency depends on the load and not on the speed of the upstream.
 bool UpstreamChooser::AddLatency(Upstream* upstream,
                                  absl::Duration latency,
                                  absl::Time now) {
-  if (upstream->queue_seen_at >= now - latency)
+  if (upstream->queue_reported_at >= now - latency)
     return false;
   const double sample_us =
       std::max(1.0, absl::ToDoubleMicroseconds(latency) -
                         static_cast<double>(upstream->round_trip_us));
   upstream->latency_samples += 1;
-  // The plain mean of the first samples; otherwise the first one would weigh
-  // most.
+  // The first samples form a plain mean; otherwise the first one would have the
+  // largest weight.
   const double weight =
       std::max(kSampleWeight, 1.0 / upstream->latency_samples);
   upstream->latency_us += weight * (sample_us - upstream->latency_us);
@@ -170,11 +176,12 @@
 void UpstreamChooser::AddOutcome(Upstream* upstream,
                                  bool failed,
                                  absl::Time now) {
-  upstream->failures +=
-      kFailureSampleWeight * ((failed ? 1 : 0) - upstream->failures);
-  upstream->failures_in_row = failed ? upstream->failures_in_row + 1 : 0;
+  upstream->failure_share +=
+      kFailureSampleWeight * ((failed ? 1 : 0) - upstream->failure_share);
+  upstream->consecutive_failures =
+      failed ? upstream->consecutive_failures + 1 : 0;
   if (failed)
-    upstream->failed_at = now;
+    upstream->last_failure_at = now;
 }
 
 bool UpstreamChooser::IsGoodProbe(const Upstream& upstream,
@@ -183,24 +190,26 @@
                            static_cast<double>(upstream.round_trip_us);
   return upstream.median_latency_us <= 0 ||
          sample_us <
-             upstream.median_latency_us * kOutlierFactor + kOutlierFloorUs;
+             upstream.median_latency_us * kOutlierFactor + kMinOutlierExcessUs;
 }
 
-void UpstreamChooser::JudgeProbe(Upstream* upstream, bool good) {
-  upstream->good_probes = good ? upstream->good_probes + 1 : 0;
-  const bool agent_agrees =
+void UpstreamChooser::RecordProbe(Upstream* upstream, bool good) {
+  upstream->consecutive_good_probes =
+      good ? upstream->consecutive_good_probes + 1 : 0;
+  const bool agent_reports_recovery =
       static_cast<double>(upstream->load.service_us) <=
-      upstream->median_service_us * kRecoveredFactor + kOutlierFloorUs;
-  if (upstream->good_probes < (agent_agrees ? kGoodProbes : kGoodProbesAlone))
+      upstream->median_service_us * kRecoveredFactor + kMinOutlierExcessUs;
+  if (upstream->consecutive_good_probes <
+      (agent_reports_recovery ? kProbesToRecover : kProbesToRecoverUnconfirmed))
     return;
   upstream->on_probation = false;
-  upstream->good_probes = 0;
+  upstream->consecutive_good_probes = 0;
   upstream->latency_samples = 0;
   upstream->answers = 0;
   upstream->latency_us = upstream->median_latency_us;
   upstream->load.service_us = 0;
-  upstream->failures = 0;
-  upstream->failures_in_row = 0;
+  upstream->failure_share = 0;
+  upstream->consecutive_failures = 0;
 }
 
 void UpstreamChooser::OnSent(std::string_view name) {
@@ -208,7 +217,7 @@
   if (upstream == nullptr)
     return;
   upstream->in_flight += 1;
-  upstream->sent_since_load += 1;
+  upstream->sent_since_report += 1;
 }
 
 void UpstreamChooser::OnAnswer(std::string_view name,
@@ -223,7 +232,7 @@
   AddOutcome(upstream, false, now);
   upstream->answers += 1;
   if (AddLatency(upstream, latency, now) && upstream->on_probation)
-    JudgeProbe(upstream, IsGoodProbe(*upstream, latency));
+    RecordProbe(upstream, IsGoodProbe(*upstream, latency));
 }
 
 void UpstreamChooser::OnRefused(std::string_view name,
@@ -241,7 +250,7 @@
     return;
   AddOutcome(upstream, true, now);
   if (upstream->on_probation)
-    JudgeProbe(upstream, false);
+    RecordProbe(upstream, false);
 }
 
 void UpstreamChooser::OnFailure(std::string_view name, absl::Time now) {
@@ -251,10 +260,10 @@
   EndAttempt(upstream);
   AddOutcome(upstream, true, now);
   if (upstream->on_probation)
-    JudgeProbe(upstream, false);
+    RecordProbe(upstream, false);
 }
 
-// The latency is unknown, but it is at least the time that has passed.
+// The latency is unknown, but at least `elapsed`.
 void UpstreamChooser::OnAbandoned(std::string_view name,
                                   absl::Duration elapsed,
                                   absl::Time now) {
@@ -262,11 +271,12 @@
   if (upstream == nullptr)
     return;
   EndAttempt(upstream);
-  const double least_us = absl::ToDoubleMicroseconds(elapsed) -
-                          static_cast<double>(upstream->round_trip_us);
-  if (least_us > upstream->latency_us && AddLatency(upstream, elapsed, now) &&
-      upstream->on_probation && !IsGoodProbe(*upstream, elapsed))
-    JudgeProbe(upstream, false);
+  const double min_latency_us = absl::ToDoubleMicroseconds(elapsed) -
+                                static_cast<double>(upstream->round_trip_us);
+  if (min_latency_us > upstream->latency_us &&
+      AddLatency(upstream, elapsed, now) && upstream->on_probation &&
+      !IsGoodProbe(*upstream, elapsed))
+    RecordProbe(upstream, false);
 }
 
 void UpstreamChooser::OnLeaving(std::string_view name) {
--- a/request/chooser_policy.cc
+++ b/request/chooser_policy.cc
@@ -75,8 +75,8 @@
   this->chooser.OnLeaving(upstream);
 }
 
-// The budgets count attempts that were answered, so that a flood that is
-// refused does not earn a budget for more load.
+// OnAnswer() adds to the budgets instead, so that attempts that are refused in
+// a flood do not allow further attempts.
 void ChooserPolicy::OnFirstAttempt(absl::Time /*now*/) {}
 
 bool ChooserPolicy::AllowRetry(absl::Time /*now*/) {
@@ -90,15 +90,16 @@
 std::optional<absl::Duration> ChooserPolicy::HedgeDelay(
     const std::string& /*service*/) const {
   const absl::Time sent = absl::UnixEpoch();
-  const absl::Time at = this->hedge_timer.HedgeAt(sent, absl::InfiniteFuture());
-  if (at == absl::InfiniteFuture())
+  const absl::Time hedge_time =
+      this->hedge_timer.HedgeTime(sent, absl::InfiniteFuture());
+  if (hedge_time == absl::InfiniteFuture())
     return std::nullopt;
-  return at - sent;
+  return hedge_time - sent;
 }
 
 void ChooserPolicy::AppendBudgets(std::string* json) const {
-  StrAppend(json, "{\"retries\":", this->retries.Left(),
-            ",\"hedges\":", this->hedges.Left(), "}");
+  StrAppend(json, "{\"retries\":", this->retries.Remaining(),
+            ",\"hedges\":", this->hedges.Remaining(), "}");
 }
 
 }  // namespace cuminjunction
--- a/request/chooser_policy.h
+++ b/request/chooser_policy.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_CHOOSER_POLICY_H_
 #define REQUEST_CHOOSER_POLICY_H_
 
-// The route policy of an entry shard: UpstreamChooser with retry and hedge
-// budgets.
+// The route policy of an entry shard: an UpstreamChooser with budgets of
+// retries, hedges and link bytes.
 //
 //   auto policy = std::make_unique<ChooserPolicy>(settings, seed);
 //   EntryFront shard(&thread, options, &chart, std::move(policy), ...);
@@ -24,7 +24,7 @@
 
 struct ChooserPolicySettings {
   ChooserSettings chooser;
-  // This shard's part of the link between regions, in bytes a second.
+  // This shard's share of the link between regions, in bytes a second.
   int64_t link_bytes_per_second = kLinkBytesPerSecond;
 };
 
@@ -32,13 +32,13 @@
  public:
   ChooserPolicy(const ChooserPolicySettings& settings, uint64_t seed);
 
-  // What membership knows of the upstreams.
+  // Replaces the upstreams to choose from by those that membership reports.
   void SetMembers(const std::vector<UpstreamInfo>& members, absl::Time now);
 
-  // Changes this shard's part of the link between regions, in bytes a second.
+  // Changes this shard's share of the link between regions, in bytes a second.
   void SetLinkRate(int64_t bytes_per_second, absl::Time now);
 
-  // Endpoints are for connections; the chooser goes by SetMembers().
+  // Ignores the endpoints: the chooser uses the upstreams of SetMembers().
   void SetUpstreams(const std::vector<UpstreamEndpoint>& upstreams) override;
   bool Choose(const std::string& service,
               const RequestClass& request_class,
--- a/request/decision_ring.h
+++ b/request/decision_ring.h
@@ -1,7 +1,12 @@
 #ifndef REQUEST_DECISION_RING_H_
 #define REQUEST_DECISION_RING_H_
 
-// The most recent routing decisions of a shard, for `explain REQUEST`.
+// A ring buffer with the log lines of a shard's most recent routing decisions,
+// for the command `explain REQUEST`.
+//
+//   DecisionRing decisions(/*capacity=*/4096);
+//   decisions.Add(request_id, std::move(line));
+//   for (const std::string& json : decisions.Find(request_id)) ...
 
 #include <cstdint>
 #include <string>
@@ -24,8 +29,8 @@
     slot.line = std::move(line);
   }
 
-  // The lines about a request as JSON objects, oldest first. Empty when none
-  // is left.
+  // The lines about a request as JSON objects, oldest first. Empty when newer
+  // lines have overwritten all of them.
   std::vector<std::string> Find(const RequestId& id) const {
     std::vector<std::string> out;
     for (size_t i = 0; i < this->slots.size(); ++i) {
--- a/request/entry_route.cc
+++ b/request/entry_route.cc
@@ -65,7 +65,7 @@
                              const std::shared_ptr<Agent>& agent,
                              SendReason reason,
                              absl::Time now) {
-  const Result<uint32_t> number = request->attempts.Send();
+  const Result<uint32_t> number = request->attempts.StartAttempt();
   if (!number)
     return;
   const HttpExchange& exchange = *request->exchange;
@@ -178,13 +178,13 @@
   const uint32_t number = attempt->number;
   this->policy->OnAnswer(attempt->agent->endpoint.name, answer.load,
                          now - attempt->sent, now);
-  request->attempts.Answer(number);
+  request->attempts.RecordAnswered(number);
   this->RemoveAttempt(request, number);
   this->Finish(request, MakeAnswerReply(std::move(answer)), Outcome::kAnswered);
 }
 
 void EntryFront::OnAttemptBroken(Request* request, uint32_t number) {
-  request->attempts.Break(number);
+  request->attempts.RecordBroken(number);
   this->RemoveAttempt(request, number);
   if (!request->outstanding.empty())
     return;
@@ -194,7 +194,7 @@
 void EntryFront::OnAttemptRefused(Request* request,
                                   uint32_t number,
                                   Refusal reason) {
-  request->attempts.Refuse(number);
+  request->attempts.RecordRefused(number);
   this->RemoveAttempt(request, number);
   request->last_refusal = reason;
   if (!request->outstanding.empty())
@@ -207,7 +207,8 @@
 
 void EntryFront::RetryOrEnd(Request* request, bool needs_budget) {
   const absl::Time now = absl::Now();
-  const bool retry = !request->cancelling && request->attempts.MaySend() &&
+  const bool retry = !request->cancelling &&
+                     request->attempts.CanStartAttempt() &&
                      request->attempts.Count() < this->options.max_attempts &&
                      now < request->head.deadline &&
                      (!needs_budget || this->policy->AllowRetry(now));
@@ -222,7 +223,7 @@
 void EntryFront::Hedge(Request* request) {
   const absl::Time now = absl::Now();
   if (request->cancelling || request->outstanding.size() != 1 ||
-      request->attempts.Count() != 1 || !request->attempts.MaySend() ||
+      request->attempts.Count() != 1 || !request->attempts.CanStartAttempt() ||
       !this->policy->AllowHedge(now))
     return;
   this->hedges_total.Add();
--- a/request/fair_agent_queue.cc
+++ b/request/fair_agent_queue.cc
@@ -4,11 +4,11 @@
 
 namespace {
 
-// Expected service time relative to an ordinary request. The size of the work
-// is not known before it runs.
+// Expected service time as a multiple of that of an ordinary request. The
+// actual service time of a request is unknown before it runs.
 constexpr double kOrdinaryCost = 1;
 
-// A handle as the id that FairQueue knows an attempt by.
+// The id by which FairQueue identifies the attempt with this handle.
 AttemptId IdOf(uint64_t handle) {
   return {{0, handle}, 1};
 }
@@ -40,14 +40,14 @@
   return PoppedAttempt{exit->id.request.number, exit->refusal};
 }
 
-void FairAgentQueue::Drop(uint64_t handle) {
+void FairAgentQueue::RemoveWaiting(uint64_t handle) {
   this->queue.Remove(IdOf(handle));
 }
 
-void FairAgentQueue::Finish(uint64_t handle,
-                            absl::Duration service_time,
-                            absl::Time now) {
-  this->queue.Finished(IdOf(handle), service_time, now);
+void FairAgentQueue::FinishAttempt(uint64_t handle,
+                                   absl::Duration service_time,
+                                   absl::Time now) {
+  this->queue.ReleaseSlot(IdOf(handle), service_time, now);
 }
 
 AgentLoad FairAgentQueue::Load(absl::Time /*now*/) const {
--- a/request/fair_agent_queue.h
+++ b/request/fair_agent_queue.h
@@ -1,7 +1,11 @@
 #ifndef REQUEST_FAIR_AGENT_QUEUE_H_
 #define REQUEST_FAIR_AGENT_QUEUE_H_
 
-// FairQueue as the queue of an AgentServer, which names attempts by handles.
+// Adapts FairQueue to the AgentQueue interface, in which attempts have handles
+// instead of ids:
+//
+//   auto queue = std::make_unique<FairAgentQueue>(QueueSettings{.slots = 8});
+//   queue->SetWeights({{"checkout", 3}});
 
 #include <cstdint>
 #include <optional>
@@ -16,15 +20,15 @@
  public:
   explicit FairAgentQueue(const QueueSettings& settings);
 
-  // Weights of client accounts; an account without one has weight 1.
+  // Sets the weights of client accounts; an account without one has weight 1.
   void SetWeights(absl::flat_hash_map<std::string, int64_t> weights);
 
   Refusal Push(const QueuedAttempt& attempt, absl::Time now) override;
   std::optional<PoppedAttempt> Pop(absl::Time now) override;
-  void Drop(uint64_t handle) override;
-  void Finish(uint64_t handle,
-              absl::Duration service_time,
-              absl::Time now) override;
+  void RemoveWaiting(uint64_t handle) override;
+  void FinishAttempt(uint64_t handle,
+                     absl::Duration service_time,
+                     absl::Time now) override;
   AgentLoad Load(absl::Time now) const override;
 
  private:
--- a/request/idempotency.h
+++ b/request/idempotency.h
@@ -1,7 +1,14 @@
 #ifndef REQUEST_IDEMPOTENCY_H_
 #define REQUEST_IDEMPOTENCY_H_
 
-// Claims of idempotency keys, which an entry shard asks of another thread.
+// Claims of idempotency keys. A claimed key lets only one request run among all
+// those that a client account sends with the same key. An entry shard requests
+// a claim from another thread:
+//
+//   claims->Claim(account, key, id, deadline, [](ClaimResult result) {
+//     if (result == ClaimResult::kClaimed) ...   // run the request
+//   });
+//   claims->Release(account, key, id);             // the request has not run
 
 #include <functional>
 #include <string>
@@ -12,11 +19,11 @@
 namespace cuminjunction {
 
 enum class ClaimResult : uint8_t {
-  // This request holds the key.
+  // The request has claimed the key.
   kClaimed,
-  // Another request has claimed it.
+  // Another request has claimed the key.
   kTaken,
-  // It is not known whether the key could be claimed.
+  // The result of the claim is unknown, as when the store is unavailable.
   kUnavailable,
 };
 
@@ -24,8 +31,8 @@
  public:
   virtual ~IdempotencyClaims() = default;
 
-  // Claims the key of a client account for a request. Returns at once; `done`
-  // is called once at most, on any thread, while the EventThread of the shard
+  // Claims the key of a client account for a request. Does not block. `done` is
+  // called at most once, on any thread, while the EventThread of the shard
   // exists.
   virtual void Claim(const std::string& account,
                      const std::string& key,
@@ -33,9 +40,9 @@
                      absl::Time deadline,
                      std::function<void(ClaimResult)> done) = 0;
 
-  // Gives up the claim of a request that certainly has not run, so that the
-  // caller may try again with the same key. May come before `done` was called;
-  // the claim is then undone when it turns out to have been made.
+  // Releases the claim of a request that certainly has not run, so that the
+  // caller may retry with the same key. May be called before `done`; the claim
+  // is then released after it succeeds.
   virtual void Release(const std::string& account,
                        const std::string& key,
                        const RequestId& id) = 0;
--- a/request/route_policy.cc
+++ b/request/route_policy.cc
@@ -8,10 +8,11 @@
 
 namespace {
 
-bool Take(double* left) {
-  if (*left < 1)
+// Takes one attempt out of a budget. Returns false when less than one is left.
+bool TakeOne(double* remaining) {
+  if (*remaining < 1)
     return false;
-  *left -= 1;
+  *remaining -= 1;
   return true;
 }
 
@@ -19,8 +20,8 @@
 
 RoundRobinPolicy::RoundRobinPolicy(const RoundRobinOptions& options)
     : options(options),
-      retries_left(options.burst),
-      hedges_left(options.burst) {}
+      remaining_retries(options.burst),
+      remaining_hedges(options.burst) {}
 
 void RoundRobinPolicy::SetUpstreams(
     const std::vector<UpstreamEndpoint>& upstreams) {
@@ -75,18 +76,18 @@
 void RoundRobinPolicy::OnLeaving(const std::string& /*upstream*/) {}
 
 void RoundRobinPolicy::OnFirstAttempt(absl::Time /*now*/) {
-  this->retries_left = std::min(this->retries_left + this->options.retry_share,
-                                this->options.burst);
-  this->hedges_left = std::min(this->hedges_left + this->options.hedge_share,
-                               this->options.burst);
+  this->remaining_retries = std::min(
+      this->remaining_retries + this->options.retry_share, this->options.burst);
+  this->remaining_hedges = std::min(
+      this->remaining_hedges + this->options.hedge_share, this->options.burst);
 }
 
 bool RoundRobinPolicy::AllowRetry(absl::Time /*now*/) {
-  return Take(&this->retries_left);
+  return TakeOne(&this->remaining_retries);
 }
 
 bool RoundRobinPolicy::AllowHedge(absl::Time /*now*/) {
-  return Take(&this->hedges_left);
+  return TakeOne(&this->remaining_hedges);
 }
 
 std::optional<absl::Duration> RoundRobinPolicy::HedgeDelay(
@@ -97,8 +98,8 @@
 }
 
 void RoundRobinPolicy::AppendBudgets(std::string* json) const {
-  StrAppend(json, "{\"retries\":", static_cast<int>(this->retries_left),
-            ",\"hedges\":", static_cast<int>(this->hedges_left), "}");
+  StrAppend(json, "{\"retries\":", static_cast<int>(this->remaining_retries),
+            ",\"hedges\":", static_cast<int>(this->remaining_hedges), "}");
 }
 
 }  // namespace cuminjunction
--- a/request/route_policy.h
+++ b/request/route_policy.h
@@ -1,11 +1,21 @@
 #ifndef REQUEST_ROUTE_POLICY_H_
 #define REQUEST_ROUTE_POLICY_H_
 
-// What an entry shard asks before it sends an attempt, and what it reports
-// back. Each shard has a policy of its own and calls it on its thread only.
+// Chooses an upstream for each attempt of an entry shard and limits retries and
+// hedges. The shard reports how each attempt ended. Each shard has its own
+// policy and calls it on its own thread only.
 //
-// RoundRobinPolicy is the plain form: the next upstream of the service and
-// fixed shares of retries and hedges.
+//   RouteChoice choice;
+//   if (policy->Choose("checkout", request_class, now, exclude, &choice)) {
+//     ...                                      // send an attempt
+//     policy->OnSent(choice.upstream, now);
+//     ...                                      // when its answer arrives
+//     policy->OnAnswer(choice.upstream, load, latency, now);
+//   }
+//
+// RoundRobinPolicy is a simple implementation: it chooses the upstreams of a
+// service in turn and allows retries and hedges as fixed shares of first
+// attempts.
 
 #include <cstdint>
 #include <map>
@@ -18,22 +28,22 @@
 
 namespace cuminjunction {
 
-// Where the agent of an upstream listens.
+// Address of the agent of an upstream.
 struct UpstreamEndpoint {
   std::string name;
   std::string host;
   uint16_t port = 0;
-  // Names of the services that it announces.
+  // Names of the services that the upstream announces.
   std::vector<std::string> services;
 
   auto operator<=>(const UpstreamEndpoint&) const = default;
 };
 
-// A choice with the figures it was made from, for the log.
+// A chosen upstream, and the candidates that were compared, for the log.
 struct RouteChoice {
   struct Candidate {
     std::string name;
-    // Expected time to the answer, in milliseconds.
+    // Expected latency in milliseconds.
     double estimate_ms = 0;
   };
 
@@ -45,7 +55,7 @@
  public:
   virtual ~RoutePolicy() = default;
 
-  // The upstreams to choose from.
+  // Replaces the upstreams to choose from.
   virtual void SetUpstreams(const std::vector<UpstreamEndpoint>& upstreams) = 0;
 
   // Fills `choice` with an upstream of the service that is not in `exclude`.
@@ -56,7 +66,8 @@
                       const std::vector<std::string>& exclude,
                       RouteChoice* choice) = 0;
 
-  // An attempt went out. Exactly one of the next four calls follows.
+  // An attempt was sent. Exactly one call of OnAnswer(), OnRefused(),
+  // OnFailure() or OnAbandoned() follows.
   virtual void OnSent(const std::string& upstream, absl::Time now) = 0;
   virtual void OnAnswer(const std::string& upstream,
                         const AgentLoad& load,
@@ -67,25 +78,27 @@
                          const AgentLoad& load,
                          absl::Time now) = 0;
   virtual void OnFailure(const std::string& upstream, absl::Time now) = 0;
-  // The entry awaits no answer any longer, `elapsed` after it was sent: the
-  // deadline has passed or another attempt was answered.
+  // The entry no longer awaits an answer, `elapsed` after the attempt was sent:
+  // the deadline has passed or another attempt was answered.
   virtual void OnAbandoned(const std::string& upstream,
                            absl::Duration elapsed,
                            absl::Time now) = 0;
 
-  // The agent says that it is leaving.
+  // The agent announced that it is leaving.
   virtual void OnLeaving(const std::string& upstream) = 0;
 
-  // Budgets, as shares of first attempts. Allow...() takes from the budget.
+  // Retries and hedges are limited to shares of the first attempts.
+  // AllowRetry() and AllowHedge() take one attempt out of their budget, and
+  // return false when it is spent.
   virtual void OnFirstAttempt(absl::Time now) = 0;
   virtual bool AllowRetry(absl::Time now) = 0;
   virtual bool AllowHedge(absl::Time now) = 0;
 
-  // How long after the first attempt a hedge goes out; nullopt for never.
+  // Time from the first attempt to a hedge; nullopt for no hedge.
   virtual std::optional<absl::Duration> HedgeDelay(
       const std::string& service) const = 0;
 
-  // Appends the state of the budgets as a JSON object, for the log.
+  // Appends the remaining budgets as a JSON object, for the log.
   virtual void AppendBudgets(std::string* json) const = 0;
 };
 
@@ -93,7 +106,8 @@
   // Retries and hedges as shares of first attempts.
   double retry_share = 0.1;
   double hedge_share = 0.05;
-  // Retries and hedges that are allowed without first attempts before.
+  // Largest number of retries, and of hedges, that a budget holds. Each budget
+  // starts full.
   double burst = 10;
   // Time from the first attempt to a hedge; infinite for no hedges.
   absl::Duration hedge_delay = absl::InfiniteDuration();
@@ -134,8 +148,8 @@
   RoundRobinOptions options;
   std::map<std::string, std::vector<std::string>> by_service;
   size_t next = 0;
-  double retries_left;
-  double hedges_left;
+  double remaining_retries;
+  double remaining_hedges;
 };
 
 }  // namespace cuminjunction
--- a/request/testing/agent_test.cc
+++ b/request/testing/agent_test.cc
@@ -94,7 +94,7 @@
   const Submit ran = SubmitOf(1, "POST", absl::Milliseconds(200));
   entry.Send(ran);
   entry.Wait<AnswerHead>(1);
-  absl::SleepFor(FromMicros(ran.deadline_us) + 2 * kClockSkew - absl::Now());
+  absl::SleepFor(FromMicros(ran.deadline_us) + 2 * kMaxClockSkew - absl::Now());
   entry.Send(CancelAttempt{ran.id, ran.deadline_us});
   const Submit other = SubmitOf(2);
   entry.Send(CancelAttempt{other.id, other.deadline_us});
--- a/request/testing/attempts_test.cc
+++ b/request/testing/attempts_test.cc
@@ -11,86 +11,87 @@
 namespace cuminjunction {
 namespace {
 
-const RequestChart& ChartOfRequests() {
+const RequestChart& TestRequestChart() {
   static const RequestChart chart = TestChart();
   return chart;
 }
 
-// Guards against a non-idempotent request running twice (P6): a second attempt
-// next to an outstanding one, or after one that may have run.
+// Guards against a non-idempotent request running twice (P6) by a second
+// attempt beside an outstanding one, or after one that may have run.
 TEST(AttemptsTest, NonIdempotentRequestIsSentAgainOnlyAfterARefusal) {
-  RequestAttempts attempts(&ChartOfRequests(), false);
-  ASSERT_EQ(attempts.Send().value(), 1u);
-  EXPECT_EQ(attempts.Send().error(), AttemptError::kMayRunTwice);
-  EXPECT_TRUE(attempts.Refuse(1));
-  ASSERT_EQ(attempts.Send().value(), 2u);
-  EXPECT_TRUE(attempts.Break(2));
-  EXPECT_EQ(attempts.Send().error(), AttemptError::kMayRunTwice);
+  RequestAttempts attempts(&TestRequestChart(), false);
+  ASSERT_EQ(attempts.StartAttempt().value(), 1u);
+  EXPECT_EQ(attempts.StartAttempt().error(), AttemptError::kMayRunTwice);
+  EXPECT_TRUE(attempts.RecordRefused(1));
+  ASSERT_EQ(attempts.StartAttempt().value(), 2u);
+  EXPECT_TRUE(attempts.RecordBroken(2));
+  EXPECT_EQ(attempts.StartAttempt().error(), AttemptError::kMayRunTwice);
   EXPECT_EQ(attempts.GiveUp(), Outcome::kUnknown);
 }
 
-// Guards against a refusal of one attempt hiding that another one may have run
-// (P5).
-TEST(AttemptsTest, BrokenHedgeKeepsTheOutcomeUnknown) {
-  RequestAttempts attempts(&ChartOfRequests(), true);
-  ASSERT_TRUE(attempts.Send());
-  ASSERT_TRUE(attempts.Send());
-  EXPECT_TRUE(attempts.Break(1));
-  EXPECT_TRUE(attempts.Refuse(2));
+// Guards against a false kNotRun (P5) when one attempt is refused and another
+// one may have run.
+TEST(AttemptsTest, BrokenHedgeMakesTheOutcomeUnknown) {
+  RequestAttempts attempts(&TestRequestChart(), true);
+  ASSERT_TRUE(attempts.StartAttempt());
+  ASSERT_TRUE(attempts.StartAttempt());
+  EXPECT_TRUE(attempts.RecordBroken(1));
+  EXPECT_TRUE(attempts.RecordRefused(2));
   EXPECT_EQ(attempts.GiveUp(), Outcome::kUnknown);
 }
 
-// Guards against late and duplicated reports changing a request.
-TEST(AttemptsTest, ReportsOfAttemptsThatAreNotOutstandingAreDropped) {
-  RequestAttempts attempts(&ChartOfRequests(), false);
-  EXPECT_FALSE(attempts.Answer(1));
-  ASSERT_TRUE(attempts.Send());
-  EXPECT_TRUE(attempts.Refuse(1));
-  EXPECT_FALSE(attempts.Answer(1));
-  EXPECT_FALSE(attempts.Refuse(1));
-  ASSERT_TRUE(attempts.Send());
-  EXPECT_TRUE(attempts.Answer(2));
-  EXPECT_FALSE(attempts.Break(2));
+// Guards against late and duplicated messages that change the state of a
+// request.
+TEST(AttemptsTest, ReportsOfAttemptsThatAreNotOutstandingAreIgnored) {
+  RequestAttempts attempts(&TestRequestChart(), false);
+  EXPECT_FALSE(attempts.RecordAnswered(1));
+  ASSERT_TRUE(attempts.StartAttempt());
+  EXPECT_TRUE(attempts.RecordRefused(1));
+  EXPECT_FALSE(attempts.RecordAnswered(1));
+  EXPECT_FALSE(attempts.RecordRefused(1));
+  ASSERT_TRUE(attempts.StartAttempt());
+  EXPECT_TRUE(attempts.RecordAnswered(2));
+  EXPECT_FALSE(attempts.RecordBroken(2));
   EXPECT_EQ(attempts.GiveUp(), Outcome::kAnswered);
-  EXPECT_EQ(attempts.Send().error(), AttemptError::kEnded);
+  EXPECT_EQ(attempts.StartAttempt().error(), AttemptError::kEnded);
 }
 
-// Guards against any order of events giving a false "not run" or a second run
-// of a non-idempotent request.
+// Guards against an order of events that leads to a false kNotRun or to a
+// second run of a non-idempotent request.
 RC_GTEST_PROP(AttemptsTest,
-              OutcomeFollowsWhatIsCertain,
+              OutcomeMatchesTheAttemptsThatMayHaveRun,
               (bool idempotent, const std::vector<uint8_t>& events)) {
-  RequestAttempts attempts(&ChartOfRequests(), idempotent);
-  std::set<uint32_t> maybe_run;
+  RequestAttempts attempts(&TestRequestChart(), idempotent);
+  std::set<uint32_t> may_have_run;
   bool answered = false;
   for (const uint8_t event : events) {
     const uint32_t attempt = 1 + (event / 4) % 3;
     switch (event % 4) {
       case 0:
-        if (const Result<uint32_t> sent = attempts.Send()) {
-          RC_ASSERT(idempotent || maybe_run.empty());
-          maybe_run.insert(sent.value());
+        if (const Result<uint32_t> sent = attempts.StartAttempt()) {
+          RC_ASSERT(idempotent || may_have_run.empty());
+          may_have_run.insert(sent.value());
         }
         break;
       case 1:
-        if (attempts.Refuse(attempt))
-          maybe_run.erase(attempt);
+        if (attempts.RecordRefused(attempt))
+          may_have_run.erase(attempt);
         break;
       case 2:
-        attempts.Break(attempt);
+        attempts.RecordBroken(attempt);
         break;
       default:
-        answered = attempts.Answer(attempt) || answered;
+        answered = attempts.RecordAnswered(attempt) || answered;
     }
   }
   const Outcome outcome = attempts.GiveUp();
   RC_ASSERT((outcome == Outcome::kAnswered) == answered);
   if (!answered)
-    RC_ASSERT((outcome == Outcome::kNotRun) == maybe_run.empty());
+    RC_ASSERT((outcome == Outcome::kNotRun) == may_have_run.empty());
 }
 
-// Guards against a chart file that lost a state or an event being used.
-TEST(AttemptsTest, ChartWithoutAnEventIsRefused) {
+// Guards against the use of a chart file that lacks an event.
+TEST(AttemptsTest, ChartWithoutAnEventIsRejected) {
   std::vector<YamlProblem> problems;
   Chart chart =
       LoadChart(CUMINJUNCTION_SOURCE_DIR "/charts/request.yaml", &problems)
@@ -104,21 +105,21 @@
 const absl::Time kNow = absl::FromUnixSeconds(1000);
 const absl::Time kDeadline = kNow + absl::Seconds(1);
 
-// Guards against a late frame starting an attempt after its refusal, up to the
-// end of the clock skew.
-TEST(TombstonesTest, BuriedAttemptNeverStarts) {
+// Guards against a late message that starts an attempt after its refusal, until
+// the deadline and the largest clock skew have passed.
+TEST(TombstonesTest, BlockedAttemptNeverStarts) {
   Tombstones tombstones;
-  tombstones.Bury(kId, kDeadline, kNow);
+  tombstones.Block(kId, kDeadline, kNow);
   for (const absl::Time now :
-       {kNow, kDeadline, kDeadline + kClockSkew - absl::Microseconds(1)}) {
+       {kNow, kDeadline, kDeadline + kMaxClockSkew - absl::Microseconds(1)}) {
     EXPECT_EQ(tombstones.Admit(kId, kDeadline, now),
-              Tombstones::Verdict::kBuried);
+              Tombstones::Verdict::kBlocked);
   }
-  EXPECT_EQ(tombstones.Admit(kId, kDeadline, kDeadline + kClockSkew),
-            Tombstones::Verdict::kLate);
+  EXPECT_EQ(tombstones.Admit(kId, kDeadline, kDeadline + kMaxClockSkew),
+            Tombstones::Verdict::kExpired);
 }
 
-// Guards against a duplicated Submit running twice.
+// Guards against a duplicated Submit message that starts an attempt twice.
 TEST(TombstonesTest, AttemptIsAdmittedOnce) {
   Tombstones tombstones;
   EXPECT_EQ(tombstones.Admit(kId, kDeadline, kNow), Tombstones::Verdict::kNew);
@@ -126,13 +127,13 @@
             Tombstones::Verdict::kDuplicate);
 }
 
-// Guards against memory that grows with every request.
-TEST(TombstonesTest, IdsAreForgottenAfterTheDeadline) {
+// Guards against memory use that grows with each request.
+TEST(TombstonesTest, IdsAreRemovedAfterTheDeadline) {
   Tombstones tombstones;
   for (uint64_t i = 1; i <= 100; ++i)
     tombstones.Admit({{7, i}, 1}, kDeadline, kNow);
   tombstones.Admit({{7, 101}, 1}, kDeadline + absl::Hours(1),
-                   kDeadline + kClockSkew);
+                   kDeadline + kMaxClockSkew);
   EXPECT_EQ(tombstones.Count(), 1u);
 }
 
--- a/request/testing/budget_test.cc
+++ b/request/testing/budget_test.cc
@@ -14,7 +14,7 @@
   return absl::UnixEpoch() + absl::Milliseconds(ms);
 }
 
-// Guards against retries beyond their share of the first attempts, in any
+// Guards against more retries than their share of the first attempts, for any
 // order of first attempts and retries.
 RC_GTEST_PROP(BudgetTest,
               RetriesStayWithinTheirShare,
@@ -35,9 +35,9 @@
   }
 }
 
-// Guards against a budget that refuses what its share allows, and against a
-// storm of saved-up retries after a long quiet time.
-TEST(BudgetTest, ShareIsUsableAndSavingsAreBounded) {
+// Guards against a budget that refuses attempts within its share, and against a
+// storm of attempts whose budget accumulated over a long time without any.
+TEST(BudgetTest, ShareIsUsableAndAccumulationIsBounded) {
   HedgeBudget budget;
   for (int i = 0; i < 20; ++i)
     budget.OnFirstAttempt();
@@ -48,24 +48,24 @@
   int taken = 0;
   while (budget.TryTake())
     ++taken;
-  EXPECT_EQ(taken, HedgeBudget::kMostSaved);
+  EXPECT_EQ(taken, HedgeBudget::kMaxSaved);
 }
 
-// Guards against hedges of ordinary requests, and against hedges whose answer
-// would come too late.
-TEST(HedgeTimerTest, HedgesTheSlowestTwentieth) {
+// Guards against hedges of requests with ordinary latency, and against hedges
+// whose answer would arrive after the deadline.
+TEST(HedgeTimerTest, HedgesTheSlowestFivePercent) {
   HedgeTimer timer;
-  EXPECT_EQ(timer.HedgeAt(At(0), At(1000)), absl::InfiniteFuture());
+  EXPECT_EQ(timer.HedgeTime(At(0), At(1000)), absl::InfiniteFuture());
   for (int i = 0; i < 1000; ++i)
     timer.OnLatency(absl::Milliseconds(i % 100 < 94 ? 5 : 50), At(i));
-  const absl::Time at = timer.HedgeAt(At(0), At(1000));
-  EXPECT_GT(at, At(40));
-  EXPECT_LT(at, At(62));
-  EXPECT_EQ(timer.HedgeAt(At(0), At(45)), absl::InfiniteFuture());
+  const absl::Time hedge_time = timer.HedgeTime(At(0), At(1000));
+  EXPECT_GT(hedge_time, At(40));
+  EXPECT_LT(hedge_time, At(62));
+  EXPECT_EQ(timer.HedgeTime(At(0), At(45)), absl::InfiniteFuture());
 }
 
-// Guards against a quantile that keeps to a load that is long over.
-TEST(HedgeTimerTest, OldLatenciesAreForgotten) {
+// Guards against a quantile that still reflects a load that ended long ago.
+TEST(HedgeTimerTest, OldLatenciesLoseTheirWeight) {
   DecayedQuantile quantile;
   for (int i = 0; i < 1000; ++i)
     quantile.Add(absl::Milliseconds(100), At(i));
@@ -74,8 +74,8 @@
   EXPECT_LT(quantile.Quantile(0.95), absl::Milliseconds(6));
 }
 
-// Guards against more bytes than the link carries, however many requests of
-// any use ask.
+// Guards against a budget that allows more bytes than the rate of the link, for
+// any number of requests of any class.
 RC_GTEST_PROP(LinkBudgetTest, NeverExceedsTheRate, ()) {
   LinkBudget link(1000000);
   const auto steps =
@@ -84,36 +84,38 @@
   int64_t taken = 0;
   for (const int step : steps) {
     now += absl::Milliseconds(step % 3);
-    const auto use = static_cast<LinkUse>(1 + step % 3);
-    taken += link.TryTake(use, step, now) ? step : 0;
-    // The bucket of 100 ms, and the rate since the start.
+    const auto traffic_class = static_cast<TrafficClass>(1 + step % 3);
+    taken += link.TryTake(traffic_class, step, now) ? step : 0;
+    // The bucket holds 100 ms of the rate, and refills at the rate since the
+    // start.
     RC_ASSERT(taken <= 100000 + absl::ToInt64Milliseconds(now - At(0)) * 1000);
   }
 }
 
-// Guards against batch traffic that holds up urgent and control traffic.
-TEST(LinkBudgetTest, UrgentAndControlTrafficGoFirst) {
+// Guards against batch traffic that delays urgent and control traffic.
+TEST(LinkBudgetTest, UrgentAndControlTrafficTakePriority) {
   LinkBudget link(1000000);
-  while (link.TryTake(LinkUse::kBatch, 1000, At(0)))
+  while (link.TryTake(TrafficClass::kBatch, 1000, At(0)))
     continue;
-  EXPECT_TRUE(link.TryTake(LinkUse::kNormal, 1000, At(0)));
-  while (link.TryTake(LinkUse::kNormal, 1000, At(0)))
+  EXPECT_TRUE(link.TryTake(TrafficClass::kNormal, 1000, At(0)));
+  while (link.TryTake(TrafficClass::kNormal, 1000, At(0)))
     continue;
-  EXPECT_TRUE(link.TryTake(LinkUse::kUrgent, 1000, At(0)));
-  while (link.TryTake(LinkUse::kUrgent, 1000, At(0)))
+  EXPECT_TRUE(link.TryTake(TrafficClass::kUrgent, 1000, At(0)));
+  while (link.TryTake(TrafficClass::kUrgent, 1000, At(0)))
     continue;
-  EXPECT_TRUE(link.TryTake(LinkUse::kControl, 50000, At(0)));
-  // Control traffic left a debt of 50 ms.
-  EXPECT_FALSE(link.TryTake(LinkUse::kUrgent, 1000, At(50)));
-  EXPECT_TRUE(link.TryTake(LinkUse::kUrgent, 1000, At(52)));
+  EXPECT_TRUE(link.TryTake(TrafficClass::kControl, 50000, At(0)));
+  // Control traffic overdrew the bucket by 50 ms of the rate.
+  EXPECT_FALSE(link.TryTake(TrafficClass::kUrgent, 1000, At(50)));
+  EXPECT_TRUE(link.TryTake(TrafficClass::kUrgent, 1000, At(52)));
 }
 
-// Guards against a message that is larger than the bucket and never passes.
-TEST(LinkBudgetTest, LargeMessagePassesAnIdleLink) {
+// Guards against refusing a message forever because it is larger than the
+// bucket.
+TEST(LinkBudgetTest, LargeMessageIsAllowedOnAnIdleLink) {
   LinkBudget link(1000000);
-  EXPECT_TRUE(link.TryTake(LinkUse::kBatch, 500000, At(0)));
-  EXPECT_FALSE(link.TryTake(LinkUse::kUrgent, 1000, At(400)));
-  EXPECT_TRUE(link.TryTake(LinkUse::kUrgent, 1000, At(402)));
+  EXPECT_TRUE(link.TryTake(TrafficClass::kBatch, 500000, At(0)));
+  EXPECT_FALSE(link.TryTake(TrafficClass::kUrgent, 1000, At(400)));
+  EXPECT_TRUE(link.TryTake(TrafficClass::kUrgent, 1000, At(402)));
 }
 
 }  // namespace
--- a/request/testing/chooser_test.cc
+++ b/request/testing/chooser_test.cc
@@ -49,7 +49,8 @@
 
 class ChooserTest : public testing::Test {
  protected:
-  // Sends one request and has it answered at once. Returns the upstream.
+  // Sends one request and answers it at once. Returns the name of the upstream,
+  // or the error message of the choice.
   std::string Serve(absl::Time now,
                     const std::map<std::string, int64_t>& latency_us = {},
                     const RequestClass& cls = kNormal) {
@@ -66,7 +67,7 @@
     return name;
   }
 
-  // Serves `count` requests, one a millisecond, and counts them by upstream.
+  // Serves `count` requests, one each millisecond, and counts them by upstream.
   std::map<std::string, int> ServeMany(
       int count,
       const std::map<std::string, int64_t>& latency_us = {},
@@ -93,7 +94,7 @@
   int64_t now_ms = 0;
 };
 
-// Guards against traffic between failure domains or regions without need.
+// Guards against unnecessary traffic between failure domains or regions.
 TEST_F(ChooserTest, StaysInTheFailureDomainWhileItIsIdle) {
   this->chooser.SetUpstreams({Runner(1), Runner(2), Runner(3, "erie-b"),
                               Runner(4, "huron-a", "huron")},
@@ -103,8 +104,9 @@
   EXPECT_TRUE(counts.contains("runner-1") && counts.contains("runner-2"));
 }
 
-// Guards against queueing behind a busy failure domain beside an idle one, and
-// against crossing regions for less than the round trip.
+// Guards against queueing in a busy failure domain while another one is idle,
+// and against choosing another region to avoid a wait that is shorter than the
+// round trip.
 TEST_F(ChooserTest, LeavesABusyFailureDomainButNotForLessThanTheRoundTrip) {
   this->chooser.SetUpstreams(
       {Runner(1), Runner(2, "erie-b"), Runner(3, "huron-a", "huron")}, At(0));
@@ -120,27 +122,29 @@
   EXPECT_EQ(this->ChooseName(At(1)), "runner-3");
 }
 
-// Guards against a spill-over that fills the shared link.
+// Guards against overflow traffic to another region that uses up the shared
+// link.
 TEST_F(ChooserTest, CrossesRegionsOnlyWithinTheLinkBudget) {
   this->chooser.SetUpstreams({Runner(1), Runner(2, "huron-a", "huron")}, At(0));
   this->Report("runner-1", kBusy, At(0));
-  while (this->link.TryTake(LinkUse::kNormal, 1000, At(0)))
+  while (this->link.TryTake(TrafficClass::kNormal, 1000, At(0)))
     continue;
   EXPECT_EQ(this->ChooseName(At(0), kNormal), "runner-1");
   EXPECT_EQ(this->ChooseName(At(0), kUrgent), "runner-2");
   this->chooser.SetUpstreams({Runner(2, "huron-a", "huron")}, At(0));
   const auto choice =
       this->chooser.Choose("s", kNormal, At(0), {}, this->random);
-  EXPECT_EQ(choice.error(), ChooseError::kLinkBusy);
+  EXPECT_EQ(choice.error(), ChooseError::kLinkBudgetSpent);
 }
 
-// Guards against new work for an upstream after it said that it is leaving.
-TEST_F(ChooserTest, LeavingUpstreamGetsNothingUntilItsNextIncarnation) {
+// Guards against new requests for an upstream after its agent announced that it
+// is leaving.
+TEST_F(ChooserTest, LeavingUpstreamReceivesNoRequestsUntilItsNextIncarnation) {
   std::vector<UpstreamInfo> infos = Runners(2);
   this->chooser.SetUpstreams(infos, At(0));
   this->chooser.OnLeaving("runner-0");
   EXPECT_EQ(this->ServeMany(300).count("runner-0"), 0u);
-  // Gossip that does not know yet must not undo it.
+  // A membership update with the same incarnation must not undo it.
   this->chooser.SetUpstreams(infos, At(400));
   EXPECT_EQ(this->ServeMany(300).count("runner-0"), 0u);
   infos[0].incarnation = 2;
@@ -148,8 +152,9 @@
   EXPECT_GT(this->ServeMany(300)["runner-0"], 50);
 }
 
-// Guards against an outlier that stays in the tail, that is probed by more
-// than a small share of requests, and that is never readmitted.
+// Guards against a slow outlier that is not put on probation, that more than a
+// small share of the requests probe, or that stays on probation after it has
+// recovered.
 TEST_F(ChooserTest, SlowOutlierIsProbedAndReadmitted) {
   this->chooser.SetUpstreams(Runners(11), At(0));
   this->ServeMany(1000);
@@ -164,8 +169,9 @@
   EXPECT_GT(this->ServeMany(1000)["runner-3"], 50);
 }
 
-// Guards against urgent requests as probes while others could be used.
-TEST_F(ChooserTest, UrgentRequestsDoNotProbeWhileOthersCan) {
+// Guards against urgent requests that are used as probes while less urgent ones
+// arrive.
+TEST_F(ChooserTest, UrgentRequestsDoNotProbeWhileOthersArrive) {
   const std::map<std::string, int64_t> slow = {{"runner-3", 50000}};
   this->chooser.SetUpstreams(Runners(11), At(0));
   this->ServeMany(1000);
@@ -174,7 +180,7 @@
     this->chooser.OnAnswer("runner-3", kIdle, absl::Milliseconds(50),
                            At(this->now_ms));
   }
-  // The next review of the peers starts the probation.
+  // The next review of the pool starts the probation.
   this->now_ms += 200;
   this->ServeMany(1, slow, kNormal);
   ASSERT_TRUE(this->chooser.IsOnProbation("runner-3"));
@@ -203,8 +209,8 @@
   EXPECT_FALSE(this->chooser.IsOnProbation("runner-2"));
 }
 
-// Guards against waves of slowness that take most upstreams out of service
-// before the first ones are readmitted.
+// Guards against probation of most upstreams when several groups of them become
+// slow in succession, before the first ones have recovered.
 TEST_F(ChooserTest, AtMostHalfAreOnProbation) {
   this->chooser.SetUpstreams(Runners(8), At(0));
   this->ServeMany(1000);
@@ -228,9 +234,9 @@
   EXPECT_EQ(on_probation, 4);
 }
 
-// Guards against an old report of a long queue that keeps requests away for
-// good.
-TEST_F(ChooserTest, OldReportIsForgotten) {
+// Guards against an old report of a long queue that keeps requests away from an
+// upstream forever.
+TEST_F(ChooserTest, OldReportLosesItsWeight) {
   this->chooser.SetUpstreams(Runners(2), At(0));
   this->Report("runner-0", kBusy, At(0));
   this->now_ms = 100;
@@ -238,9 +244,9 @@
 }
 
 // Guards against a flood of one account that keeps the other accounts away from
-// some agents for good: with waits that differ a little, each agent still gets
-// a part of the requests.
-TEST_F(ChooserTest, SmallDifferencesOfLongWaitsDoNotDecide) {
+// some agents forever: when the reported waits differ by little, each agent
+// must still receive some requests.
+TEST_F(ChooserTest, SmallDifferencesOfLongWaitsAreNotDecisive) {
   this->chooser.SetUpstreams(Runners(11), At(0));
   std::map<std::string, int> counts;
   for (uint64_t i = 0; i < 11; ++i) {
@@ -254,9 +260,9 @@
     EXPECT_GT(counts[StrCat("runner-", i)], 50) << i;
 }
 
-// Guards against a flood that makes loaded upstreams look like outliers: what
-// waited in a queue says nothing about the upstream.
-TEST_F(ChooserTest, WaitInAQueueIsNoReasonForProbation) {
+// Guards against a flood that makes loaded upstreams outliers: the latency of a
+// request that waited in a queue does not show how fast the upstream is.
+TEST_F(ChooserTest, WaitInAQueueDoesNotCauseProbation) {
   this->chooser.SetUpstreams(Runners(4), At(0));
   this->ServeMany(1000);
   for (int i = 0; i < 100; ++i) {
@@ -271,7 +277,8 @@
   EXPECT_FALSE(this->chooser.IsOnProbation("runner-1"));
 }
 
-// Guards against an upstream that never answers, and so never looks slow.
+// Guards against an upstream that never answers and therefore has no measured
+// latency.
 TEST_F(ChooserTest, SilentUpstreamIsPutOnProbation) {
   this->chooser.SetUpstreams(Runners(4), At(0));
   this->ServeMany(1000);
@@ -285,8 +292,8 @@
   EXPECT_TRUE(this->chooser.IsOnProbation("runner-1"));
 }
 
-// Guards against refusing a request for the link while an upstream on probation
-// is near.
+// Guards against refusing a request because the link budget is spent while an
+// upstream on probation is in the same region.
 TEST_F(ChooserTest, UpstreamOnProbationIsBetterThanNone) {
   this->chooser.SetUpstreams(
       {Runner(1), Runner(2, "huron-a", "huron"), Runner(3, "huron-a", "huron")},
@@ -295,14 +302,14 @@
     this->chooser.OnSent("runner-1");
     this->chooser.OnFailure("runner-1", At(0));
   }
-  while (this->link.TryTake(LinkUse::kNormal, 100, At(300)))
+  while (this->link.TryTake(TrafficClass::kNormal, 100, At(300)))
     continue;
   EXPECT_EQ(this->ChooseName(At(300)), "runner-1");
   EXPECT_TRUE(this->chooser.IsOnProbation("runner-1"));
 }
 
-// Guards against herding: 40 entries that hold the same report must not all
-// send to the upstream that was least loaded then.
+// Guards against herding: 40 entries with the same load reports must not all
+// send to the upstream that was least loaded in them.
 TEST_F(ChooserTest, SeveralEntriesDoNotHerd) {
   std::map<std::string, int> sent;
   for (uint32_t entry = 0; entry < 40; ++entry) {
@@ -323,25 +330,27 @@
     EXPECT_LE(count, 14) << name;
 }
 
-// Guards against a choice that the caller excluded, one that is not usable, a
-// missing choice while there is one, and a wrong reason for none.
-RC_GTEST_PROP(ChooserPropertyTest, ChoosesOnlyWhatMayBeChosen, ()) {
+// Guards against choosing an excluded or unusable upstream, against failing
+// while a usable one is left, and against a wrong error.
+RC_GTEST_PROP(ChooserPropertyTest,
+              ChoosesOnlyUsableUpstreamsThatAreNotExcluded,
+              ()) {
   std::mt19937 bits(1);
   UpstreamChooser chooser(kEntry, nullptr);
   std::vector<UpstreamInfo> infos = Runners(*rc::gen::inRange(1, 6));
   std::set<std::string> usable;
   std::vector<std::string> excluded;
-  bool any_ready = false;
+  bool any_usable = false;
   for (UpstreamInfo& info : infos) {
     info.state = static_cast<UpstreamState>(*rc::gen::inRange(0, 5));
     info.region = *rc::gen::element<std::string>("erie", "huron");
     const bool is_excluded = *rc::gen::arbitrary<bool>();
     if (is_excluded)
       excluded.push_back(info.name);
-    const bool ready = info.state != UpstreamState::kLeaving &&
-                       info.state != UpstreamState::kDown;
-    any_ready = any_ready || ready;
-    if (ready && !is_excluded)
+    const bool is_usable = info.state != UpstreamState::kLeaving &&
+                           info.state != UpstreamState::kDown;
+    any_usable = any_usable || is_usable;
+    if (is_usable && !is_excluded)
       usable.insert(info.name);
   }
   chooser.SetUpstreams(infos, At(0));
@@ -355,8 +364,8 @@
     if (choice)
       RC_ASSERT(usable.contains(choice.value().name));
     else
-      RC_ASSERT(choice.error() == (any_ready ? ChooseError::kAllExcluded
-                                             : ChooseError::kNoneReady));
+      RC_ASSERT(choice.error() == (any_usable ? ChooseError::kAllExcluded
+                                              : ChooseError::kNoneUsable));
     RC_ASSERT(choice.has_value() == !usable.empty());
   }
   RC_ASSERT(chooser.Choose("other", kNormal, At(0), {}, bits).error() ==
--- a/request/testing/fair_queue_test.cc
+++ b/request/testing/fair_queue_test.cc
@@ -48,26 +48,26 @@
 
 using Rates = PerClass<int>;
 
-// Feeds a queue with evenly spaced arrivals (requests a second by class) for
-// two seconds of virtual time and returns how many of each class started
-// within their 100 ms, as a share of the arrivals.
+// Sends evenly spaced requests to a queue (`rates` in requests a second by
+// class) for two seconds of virtual time. Returns, by class, the share of the
+// requests that started within their timeout of 100 ms.
 template <AdmissionQueue Q>
 PerClass<double> ServedShares(Q& queue, const Rates& rates) {
   PerClass<int> sent;
   PerClass<int> started;
-  PerClass<double> due;
+  PerClass<double> arrivals_due;
   std::map<uint64_t, RequestClass> class_of;
-  std::multimap<absl::Time, AttemptId> ends;
+  std::multimap<absl::Time, AttemptId> finish_times;
   uint64_t number = 0;
   for (int64_t tick = 0; tick < kTicks; ++tick) {
     const absl::Time now = At(0) + absl::Microseconds(100 * tick);
-    while (!ends.empty() && ends.begin()->first <= now) {
-      queue.Finished(ends.begin()->second, kService, now);
-      ends.erase(ends.begin());
+    while (!finish_times.empty() && finish_times.begin()->first <= now) {
+      queue.ReleaseSlot(finish_times.begin()->second, kService, now);
+      finish_times.erase(finish_times.begin());
     }
     for (const auto& [cls, rate] : rates) {
-      due[cls] += rate / (1000.0 * kTicksPerMs);
-      for (; due[cls] >= 1; due[cls] -= 1) {
+      arrivals_due[cls] += rate / (1000.0 * kTicksPerMs);
+      for (; arrivals_due[cls] >= 1; arrivals_due[cls] -= 1) {
         const absl::Time deadline = now + absl::Milliseconds(100);
         sent[cls] += 1;
         if (queue.Admit(cls, 1, deadline, now) != Refusal::kNone)
@@ -80,7 +80,7 @@
       if (exit->refusal != Refusal::kNone)
         continue;
       started[class_of[exit->id.request.number]] += 1;
-      ends.emplace(now + kService, exit->id);
+      finish_times.emplace(now + kService, exit->id);
     }
   }
   PerClass<double> shares;
@@ -94,14 +94,14 @@
                            {kNormalA, 300},
                            {kBatchB, 10 * kCapacityPerSecond}};
 
-// Guards against starvation of urgent work by a flood of the least urgent.
-TEST(FairQueueTest, BatchFloodTakesNothingFromOthers) {
+// Guards against starvation of urgent requests by a flood of batch requests.
+TEST(FairQueueTest, BatchFloodDoesNotStarveOtherClasses) {
   FairQueue queue({});
   PerClass<double> shares = ServedShares(queue, kBatchFlood);
   EXPECT_GT(shares[kUrgentA], 0.99);
   EXPECT_GT(shares[kUrgentB], 0.99);
   EXPECT_GT(shares[kNormalA], 0.99);
-  // Unused capacity goes to the flood: 500 of 16,000 requests a second.
+  // The flood uses the remaining capacity: 500 of 16,000 requests a second.
   EXPECT_GT(shares[kBatchB], 0.025);
 
   FifoQueue fifo({});
@@ -114,14 +114,14 @@
                             {kBatchB, 300},
                             {kNormalA, 300}};
 
-// Guards against starvation of every other class by a flood of the most urgent
-// work of one client account.
-TEST(FairQueueTest, UrgentFloodOfOneAccountLeavesFloorsToOthers) {
+// Guards against starvation of all other classes by a flood of urgent requests
+// of one client account.
+TEST(FairQueueTest, UrgentFloodOfOneAccountLeavesGuaranteedSharesToOthers) {
   FairQueue queue({});
   PerClass<double> shares = ServedShares(queue, kUrgentFlood);
   EXPECT_GT(shares[kUrgentB], 0.99);
   EXPECT_GT(shares[kNormalB], 0.99);
-  // Floors: half of 25% and half of 10% of 1,600 requests a second.
+  // Guaranteed shares: half of 25% and half of 10% of 1,600 requests a second.
   EXPECT_GT(shares[kNormalA] * 300, 0.9 * 200);
   EXPECT_GT(shares[kBatchB] * 300, 0.9 * 80);
 
@@ -140,7 +140,8 @@
   EXPECT_NEAR(shares[kUrgentA] / shares[kUrgentB], 3, 0.3);
 }
 
-// Guards against floors that waste slots which no class below its floor uses.
+// Guards against guaranteed slots that stay unused while another class could
+// use them.
 TEST(FairQueueTest, SingleClassUsesAllSlots) {
   FairQueue queue({});
   PerClass<double> shares =
@@ -148,7 +149,8 @@
   EXPECT_GT(shares[kBatchA], 0.49);
 }
 
-// Starts requests of the class until all slots are taken.
+// Starts requests of the class until all slots are occupied. Returns the number
+// of the last one.
 uint64_t FillSlots(FairQueue* queue, const RequestClass& cls, absl::Time now) {
   uint64_t number = 1000000;
   do {
@@ -158,37 +160,37 @@
   return number - 1;
 }
 
-// Guards against requests that wait and then miss their deadline anyway.
-TEST(FairQueueTest, RefusesWhatWouldMissItsDeadline) {
+// Guards against requests that wait although they will miss their deadline.
+TEST(FairQueueTest, RefusesRequestsThatWouldMissTheirDeadline) {
   FairQueue queue({});
   const uint64_t last = FillSlots(&queue, kNormalA, At(0));
-  queue.Finished(Id(last), absl::Milliseconds(80), At(80));
+  queue.ReleaseSlot(Id(last), absl::Milliseconds(80), At(80));
   FillSlots(&queue, kNormalA, At(80));
   for (uint64_t i = 1; i <= 16; ++i)
     queue.Push(Id(i), kNormalA, 1, At(10000), At(81));
-  // Two rounds of 80 ms are ahead.
+  // Two rounds of 80 ms must finish first.
   EXPECT_EQ(queue.Admit(kNormalA, 1, At(281), At(81)), Refusal::kOverload);
   EXPECT_EQ(queue.Admit(kNormalA, 1, At(381), At(81)), Refusal::kNone);
   EXPECT_EQ(queue.Admit(kNormalA, 1, At(81), At(81)), Refusal::kDeadline);
 }
 
-// Guards against an estimate that was once too high, refuses all requests of
-// the class from then on, and so is never corrected.
+// Guards against an estimate that was once too high and is never corrected, as
+// the queue refuses all further requests of the class because of it.
 TEST(FairQueueTest, TooHighEstimateIsCorrected) {
   FairQueue queue({});
   const uint64_t last = FillSlots(&queue, kUrgentB, At(0));
   for (uint64_t id = last - 7; id <= last; ++id)
-    queue.Finished(Id(id), absl::Seconds(10), At(10000));
+    queue.ReleaseSlot(Id(id), absl::Seconds(10), At(10000));
   const uint64_t batch = FillSlots(&queue, kBatchA, At(10000));
   EXPECT_EQ(queue.Admit(kUrgentB, 1, At(10100), At(10000)), Refusal::kOverload);
   EXPECT_EQ(queue.Admit(kUrgentB, 1, At(11101), At(11001)), Refusal::kNone);
   queue.Push(Id(1), kUrgentB, 1, At(11101), At(11001));
-  queue.Finished(Id(batch), absl::Milliseconds(5), At(11002));
+  queue.ReleaseSlot(Id(batch), absl::Milliseconds(5), At(11002));
   EXPECT_EQ(queue.Pop(At(11002)), (QueueExit{Id(1), Refusal::kNone}));
 }
 
-// Guards against a flood that fills the whole memory of the queue.
-TEST(FairQueueTest, FloodLeavesRoomForOtherClasses) {
+// Guards against a flood of one class that fills the whole queue.
+TEST(FairQueueTest, FloodLeavesPlacesForOtherClasses) {
   FairQueue queue({.max_items = 100});
   uint64_t number = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -199,8 +201,8 @@
   EXPECT_EQ(queue.Admit(kBatchB, 1, At(10000), At(0)), Refusal::kNone);
 }
 
-// Guards against memory that grows with each account name ever seen.
-TEST(FairQueueTest, IdleClassesAreForgotten) {
+// Guards against memory use that grows with each account name.
+TEST(FairQueueTest, IdleClassesAreRemoved) {
   FairQueue queue({.max_classes = 10});
   for (uint64_t i = 0; i < 10; ++i)
     queue.Push(Id(i), {std::to_string(i), Urgency::kNormal}, 1, At(20), At(0));
@@ -210,9 +212,9 @@
   EXPECT_EQ(queue.Admit(kUrgentB, 1, At(20100), At(20000)), Refusal::kNone);
 }
 
-// Guards against an expired request that takes a slot, or stays in the queue
-// while all slots are busy.
-TEST(FairQueueTest, ExpiredRequestComesOutAsRefusal) {
+// Guards against an expired request that takes a slot, or that stays in the
+// queue while all slots are occupied.
+TEST(FairQueueTest, ExpiredRequestIsPoppedAsRefusal) {
   FairQueue queue({});
   FillSlots(&queue, kNormalA, At(0));
   queue.Push(Id(1), kUrgentB, 1, At(50), At(0));
@@ -221,8 +223,8 @@
   EXPECT_EQ(queue.Pop(At(50)), std::nullopt);
 }
 
-// Guards against a cancelled request that starts, a request that comes out
-// twice or never, and more running requests than slots.
+// Guards against a cancelled request that starts, a request that leaves the
+// queue twice or never, and more running requests than slots.
 RC_GTEST_PROP(FairQueueTest, EachRequestLeavesExactlyOnce, ()) {
   FairQueue queue({.slots = 3, .max_items = 40});
   const std::vector<RequestClass> classes = {kUrgentA, kNormalA, kBatchA,
@@ -248,7 +250,8 @@
       waiting.erase(waiting.begin());
     } else if (step < 700 && !running.empty()) {
       RC_ASSERT(!queue.Remove(Id(*running.begin())));
-      queue.Finished(Id(*running.begin()), absl::Milliseconds(step % 20), now);
+      queue.ReleaseSlot(Id(*running.begin()), absl::Milliseconds(step % 20),
+                        now);
       running.erase(running.begin());
     } else if (const std::optional<QueueExit> exit = queue.Pop(now)) {
       RC_ASSERT(waiting.erase(exit->id.request.number) == 1u);
--- a/request/timer_queue.h
+++ b/request/timer_queue.h
@@ -1,15 +1,15 @@
 #ifndef REQUEST_TIMER_QUEUE_H_
 #define REQUEST_TIMER_QUEUE_H_
 
-// Many deadlines behind one timer. No clock.
+// A queue of deadlines that share one timer. Uses no clock.
 //
 //   TimerQueue<uint64_t> deadlines;
 //   deadlines.Add(deadline, number);
 //   arm the timer for deadlines.Next();
 //   while (std::optional<uint64_t> number = deadlines.PopDue(now)) ...
 //
-// A key can't be removed; the caller skips keys that are no longer of interest
-// when they come due. Compact() bounds the memory of such keys.
+// A single key can't be removed; the caller ignores obsolete keys when they are
+// due. Compact() bounds the memory of obsolete keys.
 
 #include <algorithm>
 #include <optional>
@@ -44,8 +44,8 @@
     return key;
   }
 
-  // Drops the keys for which `is_live` is false, once the queue holds more
-  // than twice `live_count` and 1,024.
+  // Removes the keys for which `is_live` is false. Does nothing until the queue
+  // holds more than 2 * `live_count` + 1,024 keys.
   template <class IsLive>
   void Compact(size_t live_count, IsLive is_live) {
     if (this->heap.size() <= 2 * live_count + 1024)
--- a/request/tombstones.h
+++ b/request/tombstones.h
@@ -1,16 +1,15 @@
 #ifndef REQUEST_TOMBSTONES_H_
 #define REQUEST_TOMBSTONES_H_
 
-// The attempts an agent has seen, so that none starts twice or after its
-// refusal. No clock.
+// Ids of the attempts that an agent has received, refused or cancelled, so that
+// no attempt starts twice or after its refusal. Uses no clock.
 //
-//   Refusal refusal = tombstones.Admit(id, deadline, now);
-//   if (refusal != Refusal::kNone) ...      // refuse or ignore
-//   tombstones.Bury(id, deadline, now);     // cancelled before it arrived
+//   if (tombstones.Admit(id, deadline, now) != Tombstones::Verdict::kNew)
+//     ...                                   // refuse or ignore
+//   tombstones.Block(id, deadline, now);    // cancelled before it arrived
 //
-// An id is remembered until its deadline and the margin below have passed;
-// Admit() refuses an attempt after its deadline by the deadline itself, so
-// that forgetting an id never lets it start.
+// An id is kept until kMaxClockSkew after its deadline. Removing it then is
+// safe: Admit() refuses any attempt whose deadline has passed.
 
 #include <cstddef>
 
@@ -21,36 +20,36 @@
 
 namespace cuminjunction {
 
-// Clocks of two VMs differ by this much at most.
-inline constexpr absl::Duration kClockSkew = absl::Milliseconds(250);
+// Largest difference between the clocks of two VMs.
+inline constexpr absl::Duration kMaxClockSkew = absl::Milliseconds(250);
 
 class Tombstones {
  public:
   enum class Verdict : uint8_t {
-    // Seen for the first time; it may start.
+    // The first message about this attempt; it may start.
     kNew,
-    // Admitted before: a duplicate, whose first copy is dealt with.
+    // Admitted earlier; this copy must not start.
     kDuplicate,
-    // Refused or cancelled before.
-    kBuried,
+    // Refused or cancelled earlier.
+    kBlocked,
     // Its deadline has passed.
-    kLate,
+    kExpired,
   };
 
-  // Decides whether an attempt that arrived may start, and remembers it.
+  // Decides whether an attempt that arrived may start, and stores its id.
   Verdict Admit(const AttemptId& id, absl::Time deadline, absl::Time now);
 
-  // Remembers that the attempt must not start.
-  void Bury(const AttemptId& id, absl::Time deadline, absl::Time now);
+  // Prevents the attempt from starting.
+  void Block(const AttemptId& id, absl::Time deadline, absl::Time now);
 
   size_t Count() const { return this->ids.size(); }
 
  private:
-  // Adds the id when it is new. Returns its entry.
-  bool& Remember(const AttemptId& id, absl::Time deadline);
-  void Expire(absl::Time now);
+  // Returns the entry of the id, which is added as not blocked when it is new.
+  bool& FindOrAdd(const AttemptId& id, absl::Time deadline);
+  void RemoveExpired(absl::Time now);
 
-  // True for buried ids, false for admitted ones.
+  // True for blocked ids, false for admitted ones.
   absl::flat_hash_map<AttemptId, bool> ids;
   TimerQueue<AttemptId> expiries;
 };
--- a/request/types.h
+++ b/request/types.h
@@ -14,8 +14,9 @@
 
 namespace cuminjunction {
 
-// Identifies a request: the entry process that took it and a number that
-// process never uses twice. A restarted entry has another incarnation.
+// Identifies a request by the incarnation of the entry process that received it
+// and a number that this incarnation uses once. A restarted entry has another
+// incarnation.
 struct RequestId {
   uint64_t entry_incarnation = 0;
   uint64_t number = 0;
@@ -33,8 +34,8 @@
   }
 };
 
-// One try to have a request answered by one upstream. Attempts of a request
-// count from 1.
+// Identifies an attempt: one submission of a request to one upstream. The
+// attempts of a request are numbered from 1.
 struct AttemptId {
   RequestId request;
   uint32_t attempt = 0;
@@ -52,39 +53,39 @@
   }
 };
 
-// What is certain about a request when the caller is answered.
+// Execution status of a request, as reported to the caller with the reply.
 enum class Outcome : uint8_t {
   // The whole answer of an upstream was received.
   kAnswered = 0,
-  // No upstream has started it or will start it.
+  // No upstream has started the request or will start it.
   kNotRun = 1,
-  // It may have run, and may still run.
+  // The request may have run, and may still be running.
   kUnknown = 2,
 };
 
 // "answered", "not-run" or "unknown".
 std::string_view ToString(Outcome outcome);
 
-// Why an agent or an entry refused a request that has not started.
+// Reason for which an agent or an entry refused a request before its start.
 enum class Refusal : uint8_t {
   kNone = 0,
-  // The queue is too long for the deadline.
+  // The queue is full, or too long for the deadline.
   kOverload = 1,
   // The deadline has passed.
   kDeadline = 2,
   // The agent or upstream is leaving.
   kLeaving = 3,
-  // The upstream does not answer probes.
+  // The upstream fails its health checks.
   kUpstreamDown = 4,
-  // The agent serves no such service.
+  // The agent does not serve the service.
   kUnknownService = 5,
-  // The attempt was refused or cancelled before (tombstone).
+  // The attempt was refused or cancelled earlier; see Tombstones.
   kTombstone = 6,
-  // A limit of size or connections.
+  // A limit on sizes or counts is reached.
   kLimit = 7,
 };
 
-// The refusal as a word for logs and headers, such as "overload".
+// The refusal as it appears in logs and headers, such as "overload".
 std::string_view ToString(Refusal refusal);
 
 // The scheduling class of a request.
@@ -95,9 +96,9 @@
   auto operator<=>(const RequestClass&) const = default;
 };
 
-// Load figures of an agent, carried on each of its answers.
+// Load report of an agent, sent with each of its answers.
 struct AgentLoad {
-  // Requests at the upstream and requests queued.
+  // Requests running at the upstream, and requests queued.
   uint32_t running = 0;
   uint32_t queued = 0;
   uint32_t slots = 0;
--- a/testing/support/replay_request.cc
+++ b/testing/support/replay_request.cc
@@ -68,9 +68,9 @@
       return "new";
     case Tombstones::Verdict::kDuplicate:
       return "duplicate";
-    case Tombstones::Verdict::kBuried:
+    case Tombstones::Verdict::kBlocked:
       return "buried";
-    case Tombstones::Verdict::kLate:
+    case Tombstones::Verdict::kExpired:
       return "late";
   }
   return "";
@@ -113,7 +113,7 @@
       return ReplayError::kBadInput;
     RequestAttempts* request = &found->second;
     if (op == "send") {
-      const Result<uint32_t> sent = request->Send();
+      const Result<uint32_t> sent = request->StartAttempt();
       return sent ? json{{"attempt", sent.value()}}
                   : json{{"error", sent.error().message()}};
     }
@@ -121,11 +121,11 @@
       return json{{"outcome", std::string(ToString(request->GiveUp()))}};
     const uint32_t attempt = input.at("attempt").get<uint32_t>();
     if (op == "refuse")
-      return json{{"taken", request->Refuse(attempt)}};
+      return json{{"taken", request->RecordRefused(attempt)}};
     if (op == "break")
-      return json{{"taken", request->Break(attempt)}};
+      return json{{"taken", request->RecordBroken(attempt)}};
     if (op == "answer")
-      return json{{"taken", request->Answer(attempt)}};
+      return json{{"taken", request->RecordAnswered(attempt)}};
     return ReplayError::kBadInput;
   }
 
@@ -142,10 +142,10 @@
       return this->Pop(now);
     if (op == "cancel") {
       const bool removed = this->queue.Remove(IdOf(input));
-      this->tombstones.Bury(IdOf(input), TimeOf(input, "deadline_ms"), now);
+      this->tombstones.Block(IdOf(input), TimeOf(input, "deadline_ms"), now);
       return json{{"removed", removed}};
     }
-    this->queue.Finished(
+    this->queue.ReleaseSlot(
         IdOf(input), absl::Milliseconds(input.at("service_ms").get<int64_t>()),
         now);
     return json::object();
@@ -163,7 +163,7 @@
       this->queue.Push(id, request_class, 1, deadline, now);
       this->classes[id] = request_class;
     } else {
-      this->tombstones.Bury(id, deadline, now);
+      this->tombstones.Block(id, deadline, now);
     }
     return json{{"verdict", ToText(verdict)},
                 {"refusal", std::string(ToString(refusal))}};
@@ -190,7 +190,7 @@
       const bool starts = exit->refusal == Refusal::kNone;
       (starts ? started : refused).push_back(ToText(exit->id));
       if (!starts)
-        this->tombstones.Bury(exit->id, now, now);
+        this->tombstones.Block(exit->id, now, now);
     }
     return json{{"started", started}, {"refused", refused}};
   }
@@ -214,7 +214,7 @@
       if (ends.empty() || ends.begin()->first > until)
         return json{{"started", started}, {"running", ends.size()}};
       now = ends.begin()->first;
-      this->queue.Finished(ends.begin()->second, service, now);
+      this->queue.ReleaseSlot(ends.begin()->second, service, now);
       ends.erase(ends.begin());
     }
   }
