--- a/daemon/fleet_agent.cc
+++ b/daemon/fleet_agent.cc
@@ -86,11 +86,11 @@
           .on_started =
               [this](const TaskRef& task) { this->NoteStarted(task); },
           .on_look =
-              [this](const std::vector<ServingTail>& serving,
+              [this](const std::vector<ServingLatency>& serving,
                      const FillingLoad& filling) {
                 NeighbourNotice notice;
-                for (const ServingTail& tail : serving)
-                  notice.serving.emplace_back(tail.image, tail.share);
+                for (const ServingLatency& tail : serving)
+                  notice.serving.emplace_back(tail.image, tail.ratio);
                 notice.filling = filling;
                 this->port->Send(notice);
               }});
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -277,8 +277,8 @@
           return;
         }
         const auto stored = Decode<SubmissionRow>(row.rows.front().value);
-        if (stored && IsFinal(stored.value().end)) {
-          done({}, stored.value().end);
+        if (stored && IsFinal(stored.value().final_state)) {
+          done({}, stored.value().final_state);
           return;
         }
         this->store->ReadOne(kProgressTable, id, kCallTimeout,
--- a/daemon/fleet_message.h
+++ b/daemon/fleet_message.h
@@ -21,7 +21,7 @@
 
 #include "base/codec.h"
 #include "base/error.h"
-#include "submission/neighbours.h"
+#include "submission/interference_model.h"
 #include "submission/permits.h"
 #include "submission/types.h"
 
@@ -268,7 +268,7 @@
 // Planner to agent: what all agents' looks have taught of the images on its VM.
 struct PairsNotice {
   uint64_t epoch = 0;
-  std::vector<PairEvidence> pairs;
+  std::vector<InterferenceEstimate> pairs;
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/daemon/fleet_planner.cc
+++ b/daemon/fleet_planner.cc
@@ -102,7 +102,7 @@
                      return;
                    this->put_off.erase(node);
                    this->sent.erase(node);
-                   this->scheduler->Disconnected(node);
+                   this->scheduler->OnDisconnected(node);
                    this->FailQueries(
                        [&](const SentQuery& query) { return query.vm == node; },
                        BootClock().Now());
@@ -111,7 +111,7 @@
              .on_granted =
                  [this](const std::string& node, absl::Time end) {
                    if (this->scheduler)
-                     this->scheduler->ExtendAuthority(node, end);
+                     this->scheduler->ExtendGrant(node, end);
                  },
              .on_message =
                  [this](const std::string& node, FleetMessage&& message) {
@@ -172,7 +172,7 @@
   this->nodes.Tick(this->Grant(now), this->InTrouble(now));
   // Without a valid lease another planner may have granted more.
   if (now < this->lease.ValidUntil())
-    this->scheduler->Expire(now);
+    this->scheduler->ExpireGrants(now);
   this->FailQueries(
       [now](const SentQuery& query) { return query.deadline < now; }, now);
   this->RepairFromFeeds(now);
@@ -208,7 +208,7 @@
           .Add("epoch", this->lease.Epoch())
           .Add("workers_to_hear", this->scheduler->UnresolvedCount())
           .Add("wait_ms", absl::ToDoubleMilliseconds(end - BootClock().Now())));
-  this->scheduler->LimitInherited(end);
+  this->scheduler->LimitInheritedGrants(end);
 }
 
 bool FleetPlanner::InTrouble(absl::Time now) const {
@@ -252,9 +252,10 @@
   const auto waiting = this->put_off.find(node);
   bool known = waiting == this->put_off.end();
   if (const auto* notice = std::get_if<WorkerNotice>(message))
-    known = known && this->scheduler->KnowsAll(notice->running, notice->ended);
+    known = known &&
+            this->scheduler->HasSubmissionsOf(notice->running, notice->ended);
   else if (const auto* ends = std::get_if<EndNotices>(message))
-    known = known && this->scheduler->KnowsAll({}, ends->ends);
+    known = known && this->scheduler->HasSubmissionsOf({}, ends->ends);
   if (known)
     return false;
   this->put_off[node].push_back(std::move(*message));
@@ -303,25 +304,27 @@
                            .Add("run", static_cast<uint64_t>(end.run))
                            .Add("vm", node)
                            .Add("number", end.number)
-                           .Add("how", ToString(end.kind)));
+                           .Add("how", ToString(end.outcome)));
       this->scheduler->OnEnded(node, end, now);
       this->to_confirm[node] = {ends->born_ms, end.number};
     }
   } else if (const auto* looks = std::get_if<NeighbourNotice>(&message)) {
     for (const auto& [image, share] : looks->serving)
-      this->scheduler->Observe(node, image, share, looks->filling, now);
-    this->nodes.Send(
-        node, PairsNotice{this->lease.Epoch(), this->scheduler->PairsOn(node)});
+      this->scheduler->AddLatencySample(node, image, share, looks->filling,
+                                        now);
+    this->nodes.Send(node, PairsNotice{this->lease.Epoch(),
+                                       this->scheduler->InterferenceOn(node)});
     return;
   } else if (const auto* pairs = std::get_if<PairsNotice>(&message)) {
-    this->scheduler->Adopt(pairs->pairs);
+    this->scheduler->MergeInterference(pairs->pairs);
     return;
   } else if (const auto* answer = std::get_if<PermitAnswer>(&message)) {
     this->OnPermitAnswer(*answer);
   } else if (const auto* accepted = std::get_if<AcceptedNotice>(&message)) {
     // An earlier planner may have found it in the table before.
     this->scheduler->Add(accepted->submission, std::nullopt,
-                         UncertainSince(this->lease.Epoch()), now, absl::Now());
+                         UnresolvedRunsBefore(this->lease.Epoch()), now,
+                         absl::Now());
   } else if (const auto* request = std::get_if<StoreRequest>(&message)) {
     this->OnStoreRequest(node, *request);
   } else if (const auto* cancelled = std::get_if<CancelledNotice>(&message)) {
@@ -337,7 +340,7 @@
   if (request.cancel)
     puts.push_back({kCancellationTable, id, ""});
   // A known submission has its row already, which is written only once.
-  else if (!this->scheduler->Knows(id))
+  else if (!this->scheduler->HasSubmission(id))
     puts.push_back(
         {kSubmissionTable, id, Encode(SubmissionRow{request.submission})});
   this->lease.Write(std::move(puts), [this, node, request] {
@@ -345,7 +348,7 @@
       this->scheduler->Cancel(request.submission.id);
     else
       this->scheduler->Add(request.submission, std::nullopt,
-                           UncertainSince(this->lease.Epoch()),
+                           UnresolvedRunsBefore(this->lease.Epoch()),
                            BootClock().Now(), absl::Now());
     this->nodes.Send(node, StoreDone{this->lease.Epoch(), request.number});
     this->ScheduleRun();
@@ -370,7 +373,7 @@
                        .Add("draining", notice.info.draining)
                        .Add("running", notice.running.size())
                        .Add("ended", notice.ended.size()));
-  this->scheduler->Sync(report, BootClock().Now());
+  this->scheduler->MergeReport(report, BootClock().Now());
   this->DescribeTo(node);
 }
 
--- a/daemon/fleet_planner_load.cc
+++ b/daemon/fleet_planner_load.cc
@@ -132,7 +132,7 @@
       continue;
     }
     const Submission& submission = stored.value().submission;
-    if (IsFinal(stored.value().end)) {
+    if (IsFinal(stored.value().final_state)) {
       this->AddEnded(stored.value(), now, wall);
       continue;
     }
@@ -140,8 +140,8 @@
     std::optional<Progress> kept;
     if (known != progress.end())
       kept = known->second;
-    this->scheduler->Add(submission, kept, UncertainSince(this->lease.Epoch()),
-                         now, wall);
+    this->scheduler->Add(submission, kept,
+                         UnresolvedRunsBefore(this->lease.Epoch()), now, wall);
   }
   for (const StoreRow& row : find(kCancellationTable))
     this->scheduler->Cancel(row.key);
@@ -260,7 +260,7 @@
 }
 
 void FleetPlanner::TakeSubmissionRow(const StoreRow& row) {
-  if (row.deleted || this->scheduler->Knows(row.key))
+  if (row.deleted || this->scheduler->HasSubmission(row.key))
     return;
   const auto stored = Decode<SubmissionRow>(row.value);
   if (!stored) {
@@ -270,21 +270,23 @@
     return;
   }
   const absl::Time now = BootClock().Now();
-  if (IsFinal(stored.value().end)) {
+  if (IsFinal(stored.value().final_state)) {
     this->AddEnded(stored.value(), now, absl::Now());
     return;
   }
   // Its entry may have told an earlier planner that still reaches a worker
   // which this one does not.
   this->scheduler->Add(stored.value().submission, std::nullopt,
-                       UncertainSince(this->lease.Epoch()), now, absl::Now());
+                       UnresolvedRunsBefore(this->lease.Epoch()), now,
+                       absl::Now());
 }
 
 void FleetPlanner::AddEnded(const SubmissionRow& row,
                             absl::Time now,
                             absl::Time wall) {
   const absl::Time ended = absl::FromUnixMillis(row.ended_ms);
-  this->scheduler->AddEnded(row.submission.id, row.submission.queue, row.end,
+  this->scheduler->AddEnded(row.submission.id, row.submission.queue,
+                            row.final_state,
                             std::min(now, now - (wall - ended)));
 }
 
--- a/daemon/runner_guard.cc
+++ b/daemon/runner_guard.cc
@@ -309,7 +309,7 @@
     this->SendStop(task, figure.running.run, false);
 }
 
-std::vector<ServingTail> RunnerGuard::ServingTails(absl::Time now) {
+std::vector<ServingLatency> RunnerGuard::ServingTails(absl::Time now) {
   std::map<std::string, double> tails;
   for (const auto& [task, figure] : this->running) {
     const auto found = this->descriptions.find(task);
@@ -322,23 +322,24 @@
         tail, figure.figure /
                   static_cast<double>(found->second.latency_objective_ms));
   }
-  std::vector<ServingTail> serving;
+  std::vector<ServingLatency> serving;
   serving.reserve(tails.size());
   std::map<std::string, absl::Time> still_over;
   for (const auto& [image, tail] : tails) {
-    ServingTail& served = serving.emplace_back(ServingTail{image, tail});
+    ServingLatency& served = serving.emplace_back(ServingLatency{image, tail});
     if (tail <= 1)
       continue;
     const auto before = this->over_since.find(image);
-    served.over_since = before == this->over_since.end() ? now : before->second;
-    still_over[image] = served.over_since;
+    served.over_limit_since =
+        before == this->over_since.end() ? now : before->second;
+    still_over[image] = served.over_limit_since;
   }
   this->over_since = std::move(still_over);
   return serving;
 }
 
 void RunnerGuard::PaceFillers(absl::Time now) {
-  const std::vector<ServingTail> serving = this->ServingTails(now);
+  const std::vector<ServingLatency> serving = this->ServingTails(now);
   if (serving.empty() || this->processors <= 0)
     return;
   const auto whole = static_cast<double>(this->processors);
@@ -361,8 +362,8 @@
   }
   if (now >= this->next_look) {
     this->next_look = now + kLookInterval;
-    for (const ServingTail& tail : serving)
-      this->neighbours.Observe(kOwnVm, tail.image, tail.share, filling, now);
+    for (const ServingLatency& tail : serving)
+      this->neighbours.AddSample(kOwnVm, tail.image, tail.ratio, filling, now);
     this->handlers.on_look(serving, filling);
   }
   if (full.empty())
--- a/daemon/runner_guard.h
+++ b/daemon/runner_guard.h
@@ -45,7 +45,7 @@
       on_refused;
   std::function<void(const TaskRef& task)> on_started;
   // Tails of serving images and what fills beside them, four times a second.
-  std::function<void(const std::vector<ServingTail>& serving,
+  std::function<void(const std::vector<ServingLatency>& serving,
                      const FillingLoad& filling)>
       on_look;
 };
@@ -79,12 +79,14 @@
   void Describe(const RunOrder& order);
 
   // Takes what the planner has learned of pairs of images.
-  void Learn(const std::vector<PairEvidence>& pairs) {
-    this->neighbours.Adopt(pairs);
+  void Learn(const std::vector<InterferenceEstimate>& pairs) {
+    this->neighbours.Merge(pairs);
   }
 
   // What is known of pairs of images.
-  std::vector<PairEvidence> Pairs() const { return this->neighbours.Export(); }
+  std::vector<InterferenceEstimate> Pairs() const {
+    return this->neighbours.Export();
+  }
 
   // Processors of the VM, in thousandths of a core.
   void SetProcessors(int64_t millicores) { this->processors = millicores; }
@@ -143,7 +145,7 @@
   void StopUncovered(absl::Time now);
   // The largest tail of each serving image; notes since when it is over its
   // limit.
-  std::vector<ServingTail> ServingTails(absl::Time now);
+  std::vector<ServingLatency> ServingTails(absl::Time now);
   void PaceFillers(absl::Time now);
   void SendPace(const TaskRef& task, uint32_t run, int percent);
   void After(absl::Duration pause, std::function<void()> action);
@@ -179,8 +181,8 @@
   std::vector<EndedRun> ended;
   std::map<TaskRef, PendingStart> starting;
   std::map<TaskRef, Known> descriptions;
-  Neighbours neighbours;
-  std::map<std::string, Pace> paces;
+  InterferenceModel neighbours;
+  std::map<std::string, ImagePace> paces;
   // Since when a serving image has been over its limit.
   std::map<std::string, absl::Time> over_since;
   int64_t processors = 0;
--- a/daemon/runner_guard_starts.cc
+++ b/daemon/runner_guard_starts.cc
@@ -60,8 +60,9 @@
   }
   for (const PendingStart& start : gone) {
     this->descriptions.erase(start.order.task);
-    this->handlers.on_refused(start.order.task, start.order.run,
-                              start.abandoned.value_or(StartOutcome::kOldRun));
+    this->handlers.on_refused(
+        start.order.task, start.order.run,
+        start.abandoned.value_or(StartOutcome::kStaleRun));
   }
 }
 
@@ -138,10 +139,10 @@
       this->RetryStart(task, run);
       return;
     case OrderResult::kNoRoom:
-      this->GiveUp(task, StartOutcome::kNoRoom);
+      this->GiveUp(task, StartOutcome::kNoCapacity);
       return;
     case OrderResult::kNoTicket:
-      this->GiveUp(task, StartOutcome::kNoTicket);
+      this->GiveUp(task, StartOutcome::kInvalidTicket);
       return;
     case OrderResult::kOldRun:
       // With a lost answer before, the run may have started and ended; the next
--- a/daemon/testing/runner_guard_test.cc
+++ b/daemon/testing/runner_guard_test.cc
@@ -37,7 +37,7 @@
               .on_refused = [this](const TaskRef&, uint32_t,
                                    StartOutcome) { ++this->refused; },
               .on_started = [this](const TaskRef&) { ++this->started; },
-              .on_look = [](const std::vector<ServingTail>&,
+              .on_look = [](const std::vector<ServingLatency>&,
                             const FillingLoad&) {}});
       this->guard->SetAuthority(BootClock().Now() + absl::Seconds(60));
       this->guard->Begin();
@@ -92,7 +92,7 @@
   });
   ASSERT_TRUE(this->WaitUntil([this] { return !this->ends.empty(); }));
   this->thread.Call([this] {
-    EXPECT_EQ(this->ends.front().kind, EndKind::kDone);
+    EXPECT_EQ(this->ends.front().outcome, RunOutcome::kDone);
     EXPECT_TRUE(this->guard->Running().empty());
     EXPECT_EQ(this->guard->Ended().size(), 1u);
     EXPECT_EQ(this->refused, 0);
--- a/submission/active.cc
+++ b/submission/active.cc
@@ -9,9 +9,10 @@
 
 constexpr int kBitsPerByte = 8;
 
-// Run numbers that one planner has for a task: more than it can use in the
-// seconds before the progress of the task is stored or its successor knows.
-constexpr uint32_t kRunsOfOnePlanner = 64;
+// Run numbers reserved for one planner and task: more than it can use in the
+// seconds before the task's progress is stored or its successor receives
+// reports.
+constexpr uint32_t kRunNumbersPerPlanner = 64;
 
 bool TestBit(const std::string& bits, size_t index) {
   const size_t byte = index / kBitsPerByte;
@@ -34,26 +35,26 @@
   return bits;
 }
 
-OccurrenceSlots MakeOccurrence(const ActiveSubmission& job,
-                               uint32_t number,
-                               Certainty certainty) {
+OccurrenceSlots MakeOccurrence(const ActiveSubmission& active,
+                               uint32_t occurrence_index,
+                               PriorRuns prior_runs) {
   OccurrenceSlots slots;
-  slots.due = DueTime(job, number);
-  for (const Step& step : job.submission.steps) {
+  slots.due = DueTime(active, occurrence_index);
+  for (const Step& step : active.submission.steps) {
     StepSlots& tasks = slots.steps.emplace_back();
     tasks.tasks.resize(step.count);
     for (TaskSlot& task : tasks.tasks) {
-      task.certain = certainty.certain;
-      task.highest_run = certainty.run_floor;
+      task.resolved = prior_runs.resolved;
+      task.highest_run = prior_runs.max_run;
     }
   }
   return slots;
 }
 
-void ApplyDone(ActiveSubmission* job, const std::vector<std::string>& done) {
-  const size_t steps = job->submission.steps.size();
+void ApplyDone(ActiveSubmission* active, const std::vector<std::string>& done) {
+  const size_t steps = active->submission.steps.size();
   for (size_t number = 0; number < done.size(); ++number) {
-    OccurrenceSlots& occurrence = job->occurrences[number / steps];
+    OccurrenceSlots& occurrence = active->occurrences[number / steps];
     StepSlots& step = occurrence.steps[number % steps];
     for (size_t index = 0; index < step.tasks.size(); ++index) {
       if (!TestBit(done[number], index))
@@ -66,10 +67,10 @@
   }
 }
 
-void ApplyTasks(ActiveSubmission* job, const Progress& progress) {
+void ApplyTasks(ActiveSubmission* active, const Progress& progress) {
   for (const TaskProgress& task : progress.tasks) {
-    TaskSlot* slot = FindSlot(
-        job, {job->submission.id, task.occurrence, task.step, task.index});
+    TaskSlot* slot = FindSlot(active, {active->submission.id, task.occurrence,
+                                       task.step, task.index});
     if (slot == nullptr)
       continue;
     slot->highest_run = std::max(slot->highest_run, task.last_run);
@@ -78,9 +79,12 @@
   }
 }
 
-// Estimated time until the last task of a step is done. A task that runs longer
-// than estimated is expected to take a quarter of the estimate more.
-int64_t TimeLeftMs(const Step& step, const StepSlots& tasks, absl::Time now) {
+// Estimated time until the last task of a step is done, in milliseconds. At
+// least a quarter of the estimate remains for a task that is running, also if
+// it runs longer than estimated.
+int64_t RemainingTimeMs(const Step& step,
+                        const StepSlots& tasks,
+                        absl::Time now) {
   if (tasks.done == tasks.tasks.size())
     return 0;
   if (tasks.Idle() > 0)
@@ -89,15 +93,15 @@
   for (const TaskSlot& task : tasks.tasks) {
     if (task.phase == TaskPhase::kPlaced)
       longest = std::max(longest, step.estimate_ms - absl::ToInt64Milliseconds(
-                                                         now - task.since));
+                                                         now - task.placed_at));
   }
   return longest;
 }
 
 }  // namespace
 
-Certainty UncertainSince(uint64_t epoch) {
-  return {false, static_cast<uint32_t>(epoch - 1) * kRunsOfOnePlanner};
+PriorRuns UnresolvedRunsBefore(uint64_t epoch) {
+  return {false, static_cast<uint32_t>(epoch - 1) * kRunNumbersPerPlanner};
 }
 
 absl::Time DueTime(const ActiveSubmission& active, uint32_t occurrence) {
@@ -113,81 +117,82 @@
 ActiveSubmission Activate(const Submission& submission,
                           const Queue& queue,
                           const std::optional<Progress>& progress,
-                          Certainty certainty,
+                          PriorRuns prior_runs,
                           absl::Time now,
                           absl::Time wall) {
-  ActiveSubmission job;
-  job.submission = submission;
-  job.queue = queue;
-  job.clock_offset = now - wall;
-  job.long_running =
+  ActiveSubmission active;
+  active.submission = submission;
+  active.queue = queue;
+  active.clock_offset = now - wall;
+  active.long_running =
       std::any_of(submission.steps.begin(), submission.steps.end(),
                   [](const Step& step) { return step.long_running; });
   if (progress)
-    job.state = progress->state;
-  if (IsFinal(job.state)) {
-    job.final_stored = true;
-    return job;
+    active.state = progress->state;
+  if (IsFinal(active.state)) {
+    active.final_stored = true;
+    return active;
   }
   const size_t stored =
       progress ? progress->done.size() / submission.steps.size() : 0;
-  while (job.occurrences.size() < stored)
-    job.occurrences.push_back(MakeOccurrence(
-        job, static_cast<uint32_t>(job.occurrences.size()), certainty));
-  AddDueOccurrences(&job, certainty, now);
+  while (active.occurrences.size() < stored)
+    active.occurrences.push_back(MakeOccurrence(
+        active, static_cast<uint32_t>(active.occurrences.size()), prior_runs));
+  AddDueOccurrences(&active, prior_runs, now);
   if (progress) {
-    job.started = true;
-    ApplyDone(&job, progress->done);
-    ApplyTasks(&job, *progress);
+    active.started = true;
+    ApplyDone(&active, progress->done);
+    ApplyTasks(&active, *progress);
   }
-  return job;
+  return active;
 }
 
-void AddDueOccurrences(ActiveSubmission* job,
-                       Certainty certainty,
+void AddDueOccurrences(ActiveSubmission* active,
+                       PriorRuns prior_runs,
                        absl::Time now) {
-  while (job->occurrences.size() < job->submission.occurrences) {
-    const auto next = static_cast<uint32_t>(job->occurrences.size());
-    if (job->submission.scheduled && DueTime(*job, next) > now)
+  while (active->occurrences.size() < active->submission.occurrences) {
+    const auto next = static_cast<uint32_t>(active->occurrences.size());
+    if (active->submission.scheduled && DueTime(*active, next) > now)
       return;
-    job->occurrences.push_back(MakeOccurrence(*job, next, certainty));
+    active->occurrences.push_back(MakeOccurrence(*active, next, prior_runs));
   }
 }
 
-bool IsReady(const ActiveSubmission& job,
+bool IsReady(const ActiveSubmission& active,
              const OccurrenceSlots& slots,
              uint32_t step) {
-  const auto& after = job.submission.steps[step].after;
+  const auto& after = active.submission.steps[step].after;
   return std::all_of(after.begin(), after.end(), [&](uint32_t earlier) {
     return slots.steps[earlier].done == slots.steps[earlier].tasks.size();
   });
 }
 
-bool IsComplete(const ActiveSubmission& job) {
-  return job.occurrences.size() == job.submission.occurrences &&
-         std::all_of(job.occurrences.begin(), job.occurrences.end(),
+bool IsComplete(const ActiveSubmission& active) {
+  return active.occurrences.size() == active.submission.occurrences &&
+         std::all_of(active.occurrences.begin(), active.occurrences.end(),
                      [](const OccurrenceSlots& slots) {
                        return slots.steps_done == slots.steps.size();
                      });
 }
 
-TaskSlot* FindSlot(ActiveSubmission* job, const TaskRef& task) {
-  if (task.occurrence >= job->occurrences.size())
+TaskSlot* FindSlot(ActiveSubmission* active, const TaskRef& task) {
+  if (task.occurrence >= active->occurrences.size())
     return nullptr;
-  OccurrenceSlots& occurrence = job->occurrences[task.occurrence];
+  OccurrenceSlots& occurrence = active->occurrences[task.occurrence];
   if (task.step >= occurrence.steps.size() ||
       task.index >= occurrence.steps[task.step].tasks.size())
     return nullptr;
   return &occurrence.steps[task.step].tasks[task.index];
 }
 
-Progress ToProgress(const ActiveSubmission& job) {
+Progress ToProgress(const ActiveSubmission& active) {
   Progress progress;
-  progress.state = job.state;
-  if (IsFinal(job.state))
+  progress.state = active.state;
+  if (IsFinal(active.state))
     return progress;
-  for (uint32_t number = 0; number < job.occurrences.size(); ++number) {
-    const OccurrenceSlots& occurrence = job.occurrences[number];
+  for (uint32_t occurrence_index = 0;
+       occurrence_index < active.occurrences.size(); ++occurrence_index) {
+    const OccurrenceSlots& occurrence = active.occurrences[occurrence_index];
     for (uint32_t step = 0; step < occurrence.steps.size(); ++step) {
       const StepSlots& slots = occurrence.steps[step];
       progress.done.push_back(DoneBits(slots));
@@ -196,52 +201,58 @@
         if (task.phase == TaskPhase::kDone ||
             (task.failed_runs.empty() && task.checkpoint.empty()))
           continue;
-        progress.tasks.push_back(
-            {number, step, index, task.run, task.failed_runs, task.checkpoint});
+        progress.tasks.push_back({occurrence_index, step, index, task.run,
+                                  task.failed_runs, task.checkpoint});
       }
     }
   }
   return progress;
 }
 
-RankFacts FactsOf(const ActiveSubmission& job,
-                  const OccurrenceSlots& slots,
-                  absl::Time now) {
-  const auto& steps = job.submission.steps;
-  // Longest chains up to and with each step: of the whole occurrence, and of
-  // what is left of it.
-  std::vector<int64_t> whole(steps.size());
-  std::vector<int64_t> left(steps.size());
-  RankFacts facts;
-  int64_t longest = 0;
-  int64_t longest_left = 0;
-  for (size_t number = 0; number < steps.size(); ++number) {
-    const Step& step = steps[number];
-    const StepSlots& tasks = slots.steps[number];
-    int64_t before = 0;
-    int64_t before_left = 0;
+RankInputs RankInputsOf(const ActiveSubmission& active,
+                        const OccurrenceSlots& slots,
+                        absl::Time now) {
+  const auto& steps = active.submission.steps;
+  // By step: estimated time of the longest chain of steps that ends with it, in
+  // total and for the tasks that are not done.
+  std::vector<int64_t> total_ms(steps.size());
+  std::vector<int64_t> remaining_ms(steps.size());
+  RankInputs inputs;
+  int64_t longest_total_ms = 0;
+  int64_t longest_remaining_ms = 0;
+  for (size_t step_index = 0; step_index < steps.size(); ++step_index) {
+    const Step& step = steps[step_index];
+    const StepSlots& tasks = slots.steps[step_index];
+    int64_t before_total_ms = 0;
+    int64_t before_remaining_ms = 0;
     for (const uint32_t earlier : step.after) {
-      before = std::max(before, whole[earlier]);
-      before_left = std::max(before_left, left[earlier]);
+      before_total_ms = std::max(before_total_ms, total_ms[earlier]);
+      before_remaining_ms =
+          std::max(before_remaining_ms, remaining_ms[earlier]);
     }
-    const auto undone = static_cast<int64_t>(tasks.tasks.size() - tasks.done);
-    whole[number] = before + step.estimate_ms;
-    left[number] = before_left + TimeLeftMs(step, tasks, now);
-    longest = std::max(longest, whole[number]);
-    longest_left = std::max(longest_left, left[number]);
-    facts.work_left +=
-        static_cast<double>(undone * step.size.millicores * step.estimate_ms) /
+    const auto unfinished =
+        static_cast<int64_t>(tasks.tasks.size() - tasks.done);
+    total_ms[step_index] = before_total_ms + step.estimate_ms;
+    remaining_ms[step_index] =
+        before_remaining_ms + RemainingTimeMs(step, tasks, now);
+    longest_total_ms = std::max(longest_total_ms, total_ms[step_index]);
+    longest_remaining_ms =
+        std::max(longest_remaining_ms, remaining_ms[step_index]);
+    inputs.remaining_work +=
+        static_cast<double>(unfinished * step.size.millicores *
+                            step.estimate_ms) /
         1000.0;
   }
-  facts.long_running = job.long_running;
-  facts.priority = job.queue.priority;
-  facts.begin = slots.due;
-  facts.objective_end =
+  inputs.long_running = active.long_running;
+  inputs.priority = active.queue.priority;
+  inputs.objective_start = slots.due;
+  inputs.objective_deadline =
       slots.due +
-      absl::Milliseconds(job.queue.stretch * static_cast<double>(longest) +
-                         static_cast<double>(job.queue.objective_ms));
-  facts.earliest_end = now + absl::Milliseconds(longest_left);
-  return facts;
+      absl::Milliseconds(active.queue.stretch *
+                             static_cast<double>(longest_total_ms) +
+                         static_cast<double>(active.queue.objective_ms));
+  inputs.earliest_completion = now + absl::Milliseconds(longest_remaining_ms);
+  return inputs;
 }
 
 }  // namespace cuminjunction
--- a/submission/active.h
+++ b/submission/active.h
@@ -1,11 +1,12 @@
 #ifndef SUBMISSION_ACTIVE_H_
 #define SUBMISSION_ACTIVE_H_
 
-// A submission under way: its tasks and how far each is.
+// A submission that has been added to the planner, with the state of each task.
 //
-//   ActiveSubmission job = Activate(submission, queue, progress,
-//   /*certain=*/false, now); for (uint32_t step : ReadySteps(job, 0)) ...
-//   Progress row = ToProgress(job);
+//   ActiveSubmission active =
+//       Activate(submission, queue, progress, {}, now, wall);
+//   if (IsReady(active, active.occurrences[0], step)) ...
+//   Progress row = ToProgress(active);
 
 #include <cstdint>
 #include <optional>
@@ -22,24 +23,25 @@
 
 enum class TaskPhase : uint8_t {
   kIdle,
-  // A start was sent, or the task is known to run.
+  // A start was sent, or a runner has reported the run.
   kPlaced,
   kDone,
 };
 
 struct TaskSlot {
   TaskPhase phase = TaskPhase::kIdle;
-  // False while a run that this planner has not heard of may exist.
-  bool certain = true;
-  // The run that is placed, or was last.
+  // False while a run may exist that this planner has no report of.
+  bool resolved = true;
+  // Number of the current run, or of the last one.
   uint32_t run = 0;
-  // The highest run number that was used, by this planner or an earlier one.
+  // The highest run number used for the task, by this planner or an earlier
+  // one.
   uint32_t highest_run = 0;
-  // VM of the run, or of the last one.
+  // VM of the current run, or of the last one.
   std::string vm;
-  // When the run was ordered or first heard of.
-  absl::Time since;
-  // Not started before then.
+  // Time when the run was ordered or first reported.
+  absl::Time placed_at;
+  // The task is not started before this time.
   absl::Time not_before = absl::InfinitePast();
   std::vector<uint32_t> failed_runs;
   // VM where the last run failed.
@@ -51,7 +53,7 @@
   std::vector<TaskSlot> tasks;
   uint32_t done = 0;
   uint32_t placed = 0;
-  // When the planner first saw that the step may start.
+  // Time when the planner first found that the step may start.
   absl::Time ready_since = absl::InfiniteFuture();
 
   uint32_t Idle() const {
@@ -71,67 +73,68 @@
   Queue queue;
   SubmissionState state = SubmissionState::kQueued;
   bool long_running = false;
-  // A runner is known to have started a task. A start that was ordered may
-  // never reach a runner that is gone.
+  // A runner has reported the start of a task. An ordered start does not count,
+  // since its runner may have gone before receiving it.
   bool started = false;
-  // What the boot clock was ahead of the system clock when it was added, for
-  // times that callers state.
+  // Boot clock minus system clock at the time of Activate(); converts times
+  // that callers state.
   absl::Duration clock_offset;
-  // Occurrences that are due, in order.
+  // Occurrences that are due, by number.
   std::vector<OccurrenceSlots> occurrences;
-  // The state is final and in the store, so that callers may be told.
+  // The final state is in the store, so that callers may see it.
   bool final_stored = false;
 };
 
-// The time of an occurrence by the boot clock: when it is due, or when the
-// submission was accepted.
+// Time of an occurrence by the boot clock: its due time, or the acceptance of a
+// submission without a schedule.
 absl::Time DueTime(const ActiveSubmission& active, uint32_t occurrence);
 
-// What is known of the runs of a submission's tasks when it is added.
-struct Certainty {
-  // No run can exist that this planner has not heard of.
-  bool certain = true;
-  // The highest run number that earlier planners can have used. The numbers of
-  // two planners never overlap, since the failures of a task are told apart by
-  // them.
-  uint32_t run_floor = 0;
+// Runs of a submission's tasks that other planners may have started before it
+// was added.
+struct PriorRuns {
+  // True if no run can exist that this planner has no report of.
+  bool resolved = true;
+  // The highest run number that earlier planners can have used. The number
+  // ranges of two planners never overlap, since the failures of a task are
+  // identified by run number.
+  uint32_t max_run = 0;
 };
 
-// The highest run number that planners of lower epochs can have used for a
-// task of which nothing is stored.
-Certainty UncertainSince(uint64_t epoch);
+// Prior runs of a task of which nothing is stored, when planners of lower
+// epochs may have started it.
+PriorRuns UnresolvedRunsBefore(uint64_t epoch);
 
-// Starts from what is stored of its progress. `now` is of the boot clock and
-// `wall` of the system clock, at the same moment.
+// Creates the state of a submission from its stored progress. `now` is of the
+// boot clock and `wall` of the system clock, at the same moment.
 ActiveSubmission Activate(const Submission& submission,
                           const Queue& queue,
                           const std::optional<Progress>& progress,
-                          Certainty certainty,
+                          PriorRuns prior_runs,
                           absl::Time now,
                           absl::Time wall);
 
-// Adds the occurrences that are due.
-void AddDueOccurrences(ActiveSubmission* job,
-                       Certainty certainty,
+// Adds the occurrences that have become due.
+void AddDueOccurrences(ActiveSubmission* active,
+                       PriorRuns prior_runs,
                        absl::Time now);
 
-// True when all steps that the step waits for are done.
-bool IsReady(const ActiveSubmission& job,
+// True if all steps that the step depends on are done.
+bool IsReady(const ActiveSubmission& active,
              const OccurrenceSlots& slots,
              uint32_t step);
 
-// True when every occurrence has been made and is done.
-bool IsComplete(const ActiveSubmission& job);
+// True if all occurrences have become due and are done.
+bool IsComplete(const ActiveSubmission& active);
 
-// The task's slot, or null when the submission has no such task.
-TaskSlot* FindSlot(ActiveSubmission* job, const TaskRef& task);
+// Returns the task's slot, or null if the submission has no such task.
+TaskSlot* FindSlot(ActiveSubmission* active, const TaskRef& task);
 
-Progress ToProgress(const ActiveSubmission& job);
+Progress ToProgress(const ActiveSubmission& active);
 
-// Where an occurrence stands against its objective.
-RankFacts FactsOf(const ActiveSubmission& job,
-                  const OccurrenceSlots& slots,
-                  absl::Time now);
+// Input of the ranking for one occurrence.
+RankInputs RankInputsOf(const ActiveSubmission& active,
+                        const OccurrenceSlots& slots,
+                        absl::Time now);
 
 }  // namespace cuminjunction
 
--- a/submission/pace.cc
+++ b/submission/pace.cc
@@ -7,56 +7,58 @@
 
 namespace {
 
-// How much an image speeds up in a step at most: by this factor, or by this
-// many percentage points where that is more.
-constexpr double kRaiseFactor = 2;
-constexpr int kRaise = 25;
+// The most that one step raises the share of an image: to this multiple, or by
+// this many percentage points where that is more.
+constexpr double kMaxRaiseFactor = 2;
+constexpr int kMaxRaisePercentagePoints = 25;
 
-// Smaller changes are not worth a call, and smaller shares not their
-// disturbance, in percentage points.
-constexpr int kLeastChange = 5;
+// In percentage points. A smaller change is not worth a call to the runner, and
+// a smaller share not the interference that it causes.
+constexpr int kMinChange = 5;
 
-// Images with at least this part of the largest growth of a tail share what
-// must be saved; the others go on.
-constexpr double kAlsoSlowed = 0.3;
+// Images whose growth of the latency ratio is at least this fraction of the
+// largest one are slowed down together; the others keep their share.
+constexpr double kSlowedGrowthFraction = 0.3;
 
-// Every filling image stops beside a tail that stays over its limit for this
-// long: the users' rules allow 4 s.
-constexpr absl::Duration kMaxOver = absl::Milliseconds(1600);
+// All filling images stop beside a serving image whose latency ratio stays
+// above 1 for this long. The users' rules allow 4 s.
+constexpr absl::Duration kMaxTimeOverLimit = absl::Milliseconds(1600);
 
-// Lowers the shares (from 0 to 1, one for each filling image) until the tail is
-// expected to stay below the aim.
-void Limit(const ServingTail& tail,
-           double base,
-           const FillingLoad& filling,
-           const Neighbours& neighbours,
-           absl::Time now,
-           std::vector<double>* shares) {
-  if (tail.over_since <= now - kMaxOver) {
+// Lowers the shares (from 0 to 1, one for each filling image) until the
+// expected latency ratio is below the target.
+void LimitShares(const ServingLatency& latency,
+                 double baseline,
+                 const FillingLoad& filling,
+                 const InterferenceModel& interference_model,
+                 absl::Time now,
+                 std::vector<double>* shares) {
+  if (latency.over_limit_since <= now - kMaxTimeOverLimit) {
     std::fill(shares->begin(), shares->end(), 0.0);
     return;
   }
   std::vector<double> growth;
   growth.reserve(filling.size());
-  double most = 0;
+  double max_growth = 0;
   for (const FillingImage& filler : filling) {
-    const double harm = neighbours.Harm(tail.image, filler.image);
-    growth.push_back(harm * filler.share);
-    if (harm >= kHarmless)
-      most = std::max(most, growth.back());
+    const double interference =
+        interference_model.Interference(latency.image, filler.image);
+    growth.push_back(interference * filler.share);
+    if (interference >= kNegligibleInterference)
+      max_growth = std::max(max_growth, growth.back());
   }
   const auto is_slowed = [&](size_t index) {
-    return growth[index] >= kAlsoSlowed * most &&
-           neighbours.Harm(tail.image, filling[index].image) >= kHarmless;
+    return growth[index] >= kSlowedGrowthFraction * max_growth &&
+           interference_model.Interference(
+               latency.image, filling[index].image) >= kNegligibleInterference;
   };
   double slowed = 0;
   double others = 0;
   for (size_t index = 0; index < growth.size(); ++index)
     (is_slowed(index) ? slowed : others) += growth[index];
-  const double budget = kAimedTail / base - 1;
-  if (slowed + others <= budget || slowed <= 0)
+  const double max_total_growth = kTargetLatencyRatio / baseline - 1;
+  if (slowed + others <= max_total_growth || slowed <= 0)
     return;
-  const double limit = std::max(0.0, (budget - others) / slowed);
+  const double limit = std::max(0.0, (max_total_growth - others) / slowed);
   for (size_t index = 0; index < growth.size(); ++index) {
     if (is_slowed(index))
       (*shares)[index] = std::min((*shares)[index], limit);
@@ -66,30 +68,32 @@
 }  // namespace
 
 void UpdatePaces(const std::string& vm,
-                 const std::vector<ServingTail>& serving,
+                 const std::vector<ServingLatency>& serving,
                  const FillingLoad& filling,
-                 const Neighbours& neighbours,
+                 const InterferenceModel& interference_model,
                  absl::Time now,
-                 std::map<std::string, Pace>* paces) {
+                 std::map<std::string, ImagePace>* paces) {
   std::vector<double> shares(filling.size(), 1.0);
-  for (const ServingTail& tail : serving)
-    Limit(tail, neighbours.BaseTail(vm, tail.image, now), filling, neighbours,
-          now, &shares);
+  for (const ServingLatency& latency : serving)
+    LimitShares(latency, interference_model.Baseline(vm, latency.image, now),
+                filling, interference_model, now, &shares);
   for (size_t index = 0; index < filling.size(); ++index) {
-    Pace& pace = (*paces)[filling[index].image];
-    int wanted = static_cast<int>(100 * shares[index]);
-    if (wanted < kLeastChange)
-      wanted = 0;
-    if (wanted < pace.percent) {
-      if (wanted > 0 && pace.percent - wanted < kLeastChange)
+    ImagePace& pace = (*paces)[filling[index].image];
+    int target_percent = static_cast<int>(100 * shares[index]);
+    if (target_percent < kMinChange)
+      target_percent = 0;
+    if (target_percent < pace.percent) {
+      if (target_percent > 0 && pace.percent - target_percent < kMinChange)
         continue;
-      pace.percent = wanted;
-      pace.next_step = now + kPaceInterval;
-    } else if (wanted >= pace.percent + kLeastChange && now >= pace.next_step) {
-      const int step = std::max(pace.percent + kRaise,
-                                static_cast<int>(pace.percent * kRaiseFactor));
-      pace.percent = std::min(wanted, step);
-      pace.next_step = now + kPaceInterval;
+      pace.percent = target_percent;
+      pace.next_raise = now + kPaceInterval;
+    } else if (target_percent >= pace.percent + kMinChange &&
+               now >= pace.next_raise) {
+      const int step =
+          std::max(pace.percent + kMaxRaisePercentagePoints,
+                   static_cast<int>(pace.percent * kMaxRaiseFactor));
+      pace.percent = std::min(target_percent, step);
+      pace.next_raise = now + kPaceInterval;
     }
   }
 }
--- a/submission/pace.h
+++ b/submission/pace.h
@@ -1,53 +1,57 @@
 #ifndef SUBMISSION_PACE_H_
 #define SUBMISSION_PACE_H_
 
-// How fast the filling tasks of one image may work beside tasks that serve.
+// Pacing: limits the processor share of the filling tasks of each image, so
+// that the latency of co-located serving tasks stays below its limit.
 //
-//   std::map<std::string, Pace> paces;
-//   UpdatePaces(serving, filling, neighbours, now, &paces);
+//   std::map<std::string, ImagePace> paces;
+//   UpdatePaces(vm, serving, filling, interference_model, now, &paces);
 //
-// Load pattern: filling tasks disturb serving tasks on the same VM by amounts
-// that depend on both images, and the load of the serving tasks swings within
-// seconds. Each image gets the share at which all expected tails stay below
-// kAimedTail: the images that a tail is due to slow down at once, the others do
-// not, and all speed up as soon as the load allows it.
+// Load pattern: filling tasks interfere with serving tasks on the same VM by
+// amounts that depend on both images, and the load of the serving tasks changes
+// within seconds. Each filling image gets the share at which every expected
+// latency ratio stays below kTargetLatencyRatio. The images that cause most of
+// the excess are slowed down at once, the others are not, and all speed up as
+// soon as the load allows it.
 
 #include <map>
 #include <string>
 #include <vector>
 
 #include "absl/time/time.h"
-#include "submission/neighbours.h"
+#include "submission/interference_model.h"
 
 namespace cuminjunction {
 
-// Pause between two steps up of an image: a change takes effect after 100 ms
-// and then shows in half of the next figure.
+// Shortest time between a change of an image's share and the next raise: a
+// change takes effect after 100 ms and then shows in half of the next sample.
 inline constexpr absl::Duration kPaceInterval = absl::Milliseconds(400);
 
-// The share at which an image works, in percent.
-struct Pace {
+// The share, in percent of its full speed, at which the tasks of a filling
+// image run.
+struct ImagePace {
   int percent = 100;
-  absl::Time next_step = absl::InfinitePast();
+  absl::Time next_raise = absl::InfinitePast();
 };
 
-// A serving image on the VM.
-struct ServingTail {
+// Latency of a serving image on the VM.
+struct ServingLatency {
   std::string image;
-  // Tail as a share of the limit.
-  double share = 0;
-  // Since when it has been over the limit at each look.
-  absl::Time over_since = absl::InfiniteFuture();
+  // Latency ratio: tail latency divided by its limit.
+  double ratio = 0;
+  // Time since which every sample has been above the limit; infinite future if
+  // the last one was not.
+  absl::Time over_limit_since = absl::InfiniteFuture();
 };
 
-// Takes the next step of every filling image on the VM. `filling` is what the
-// images would use at their full share.
+// Updates the pace of every filling image on the VM. `filling` is the load that
+// the images would have at full speed.
 void UpdatePaces(const std::string& vm,
-                 const std::vector<ServingTail>& serving,
+                 const std::vector<ServingLatency>& serving,
                  const FillingLoad& filling,
-                 const Neighbours& neighbours,
+                 const InterferenceModel& interference_model,
                  absl::Time now,
-                 std::map<std::string, Pace>* paces);
+                 std::map<std::string, ImagePace>* paces);
 
 }  // namespace cuminjunction
 
--- a/submission/permits.cc
+++ b/submission/permits.cc
@@ -4,99 +4,98 @@
 
 namespace {
 
-// Workers in one query. The users' objective counts one query of 30 for each
-// step.
-constexpr size_t kWorkersInQuery = 30;
+// The users' objective allows for one query of 30 workers per step.
+constexpr size_t kMaxRunnersPerQuery = 30;
 
-// Pause after a query without an answer: the adviser refuses while many calls
-// wait.
+// Pause after a failed query: the adviser rejects calls while many are waiting.
 constexpr absl::Duration kRetryPause = absl::Milliseconds(200);
 
-// A ticket with less time left is not used, since the start that carries it may
-// be repeated once (800 ms) before the runner sees it.
-constexpr absl::Duration kLeastValidity = absl::Seconds(1);
+// A ticket that expires sooner is not used, since the start that carries it may
+// be repeated once (after 800 ms) before the runner receives it.
+constexpr absl::Duration kMinValidity = absl::Seconds(1);
 
 }  // namespace
 
-bool Permits::IsOpen(const Known& known,
-                     const RunnerInfo& runner,
-                     absl::Time now) {
-  const auto found = known.verdicts.find(runner.runner);
-  if (found == known.verdicts.end())
+bool Permits::NeedsQuery(const StepPermits& step_permits,
+                         const RunnerInfo& runner,
+                         absl::Time now) {
+  const auto found = step_permits.answers.find(runner.runner);
+  if (found == step_permits.answers.end())
     return true;
-  const Verdict& verdict = found->second;
-  // The policy does not change, so a worker that was not granted is not asked
-  // about again.
-  return verdict.granted && (verdict.born_ms != runner.born_ms ||
-                             verdict.valid_until - now < kLeastValidity);
+  const Answer& answer = found->second;
+  // The policy does not change, so a worker whose permit was denied is not
+  // queried again.
+  return answer.granted && (answer.born_ms != runner.born_ms ||
+                            answer.valid_until - now < kMinValidity);
 }
 
-std::optional<PermitQuery> Permits::Ask(
+std::optional<PermitQuery> Permits::NextQuery(
     const StepRef& step,
     const std::vector<const RunnerInfo*>& workers,
     absl::Time now) {
-  Known& known = this->steps[step];
-  if (!known.asked.empty() || now < known.retry_at)
+  StepPermits& step_permits = this->steps[step];
+  if (!step_permits.pending.empty() || now < step_permits.retry_at)
     return std::nullopt;
   PermitQuery query{step, {}};
   for (const RunnerInfo* runner : workers) {
-    if (query.runners.size() >= kWorkersInQuery)
+    if (query.runners.size() >= kMaxRunnersPerQuery)
       break;
-    if (!IsOpen(known, *runner, now))
+    if (!NeedsQuery(step_permits, *runner, now))
       continue;
     query.runners.push_back(runner->runner);
-    known.asked[runner->runner] = runner->born_ms;
+    step_permits.pending[runner->runner] = runner->born_ms;
   }
   if (query.runners.empty())
     return std::nullopt;
   return query;
 }
 
-void Permits::OnGranted(const PermitQuery& query,
-                        const std::vector<GrantedRunner>& granted,
-                        absl::Time valid_until) {
+void Permits::OnAnswer(const PermitQuery& query,
+                       const std::vector<GrantedRunner>& granted,
+                       absl::Time valid_until) {
   const auto found = this->steps.find(query.step);
   if (found == this->steps.end())
     return;
-  Known& known = found->second;
-  for (const auto& [runner, born_ms] : known.asked)
-    known.verdicts[runner] = {born_ms, false, "", valid_until};
+  StepPermits& step_permits = found->second;
+  for (const auto& [runner, born_ms] : step_permits.pending)
+    step_permits.answers[runner] = {born_ms, false, "", valid_until};
   for (const auto& [runner, ticket] : granted) {
-    const auto verdict = known.verdicts.find(runner);
-    if (verdict == known.verdicts.end() || !known.asked.contains(runner))
+    const auto answer = step_permits.answers.find(runner);
+    if (answer == step_permits.answers.end() ||
+        !step_permits.pending.contains(runner))
       continue;
-    verdict->second.granted = true;
-    verdict->second.ticket = ticket;
+    answer->second.granted = true;
+    answer->second.ticket = ticket;
   }
-  known.asked.clear();
+  step_permits.pending.clear();
 }
 
 void Permits::OnFailed(const PermitQuery& query, absl::Time now) {
   const auto found = this->steps.find(query.step);
   if (found == this->steps.end())
     return;
-  found->second.asked.clear();
+  found->second.pending.clear();
   found->second.retry_at = now + kRetryPause;
 }
 
 const std::string* Permits::Find(const StepRef& step,
                                  const RunnerInfo& runner,
                                  absl::Time now) const {
-  const auto known = this->steps.find(step);
-  if (known == this->steps.end())
+  const auto step_permits = this->steps.find(step);
+  if (step_permits == this->steps.end())
     return nullptr;
-  const auto verdict = known->second.verdicts.find(runner.runner);
-  if (verdict == known->second.verdicts.end() || !verdict->second.granted ||
-      verdict->second.born_ms != runner.born_ms ||
-      verdict->second.valid_until - now < kLeastValidity)
+  const auto answer = step_permits->second.answers.find(runner.runner);
+  if (answer == step_permits->second.answers.end() || !answer->second.granted ||
+      answer->second.born_ms != runner.born_ms ||
+      answer->second.valid_until - now < kMinValidity)
     return nullptr;
-  return &verdict->second.ticket;
+  return &answer->second.ticket;
 }
 
 void Permits::Revoke(const StepRef& step, const std::string& runner) {
-  const auto known = this->steps.find(step);
-  if (known != this->steps.end())
-    known->second.verdicts.erase(runner);
+  const auto step_permits = this->steps.find(step);
+  if (step_permits != this->steps.end())
+    step_permits->second.answers.erase(runner);
 }
 
 void Permits::Forget(const std::string& submission) {
--- a/submission/place.cc
+++ b/submission/place.cc
@@ -7,26 +7,27 @@
 namespace {
 
 // Weights of the cost, in units of a fully used VM. A VM where the task failed
-// is the last choice; a VM where it would disturb or be disturbed is worse than
-// a full one; data on another rack makes the task up to three times as long.
-constexpr double kFailedHere = 100;
-constexpr double kDisturbance = 10;
-constexpr double kOtherRack = 3;
-constexpr double kSameStep = 0.05;
-
-// Serving tasks of one image are gathered, so that filling images find VMs
-// where they disturb nobody. The weight makes a nearly full VM with the image
-// better than an empty one.
-constexpr double kOtherImage = 1.5;
-
-// Tail of a serving task that has not started yet, without filling tasks.
-constexpr double kUsualTail = 0.5;
+// is the last choice. A VM with an expected latency ratio above the bound is
+// worse than a full one. Data on another rack makes the task take up to three
+// times as long.
+constexpr double kFailedHereWeight = 100;
+constexpr double kExcessRatioWeight = 10;
+constexpr double kOtherRackWeight = 3;
+constexpr double kSameStepWeight = 0.05;
+
+// Serving tasks of one image are packed together, so that filling tasks find
+// VMs without images that they interfere with. The weight makes a nearly full
+// VM with the same image cheaper than an empty one.
+constexpr double kOtherImageWeight = 1.5;
+
+// Baseline assumed for a serving task that has not started yet.
+constexpr double kDefaultBaseline = 0.5;
 
 // Share of its processors that a serving task uses at its usual load. Filling
-// tasks get what it leaves.
-constexpr double kServingUse = 0.5;
+// tasks get the rest.
+constexpr double kServingUtilization = 0.5;
 
-// Part of the VM's processors.
+// Share of the VM's processors.
 double ShareOf(int64_t millicores, const Worker& worker) {
   return static_cast<double>(millicores) /
          static_cast<double>(
@@ -34,11 +35,11 @@
 }
 
 double UsedShare(const Worker& worker) {
-  return ShareOf(worker.used.millicores + worker.fill_millicores, worker);
+  return ShareOf(worker.used.millicores + worker.filling_millicores, worker);
 }
 
-// What the filling tasks on the VM use at their full pace.
-FillingLoad FillingOn(const Worker& worker) {
+// Load of the filling tasks on the VM at full pace.
+FillingLoad FillingLoadOn(const Worker& worker) {
   FillingLoad filling;
   filling.reserve(worker.filling.size());
   for (const auto& [image, load] : worker.filling)
@@ -46,104 +47,112 @@
   return filling;
 }
 
-// The room for filling tasks: what others are expected to leave unused.
-Size LeftOver(const Worker& worker) {
-  Size room = FreeRoom(worker);
-  room.millicores +=
-      static_cast<int64_t>((1 - kServingUse) *
+// Capacity for filling tasks: what other tasks are expected to leave unused.
+Size FillingCapacity(const Worker& worker) {
+  Size free_capacity = FreeCapacity(worker);
+  free_capacity.millicores +=
+      static_cast<int64_t>((1 - kServingUtilization) *
                            static_cast<double>(worker.serving_millicores)) -
-      worker.fill_millicores;
-  return room;
+      worker.filling_millicores;
+  return free_capacity;
 }
 
 }  // namespace
 
-void RefreshTails(const Neighbours& neighbours,
-                  absl::Time now,
-                  Worker* worker) {
-  worker->tails.clear();
+void RefreshLatencyOutlooks(const InterferenceModel& interference_model,
+                            absl::Time now,
+                            Worker* worker) {
+  worker->latency_outlooks.clear();
   if (worker->serving.empty())
     return;
-  const FillingLoad filling = FillingOn(*worker);
+  const FillingLoad filling = FillingLoadOn(*worker);
   for (const auto& [image, load] : worker->serving) {
-    double factor = 1;
+    double slowdown = 1;
     for (const FillingImage& filler : filling)
-      factor += neighbours.Harm(image, filler.image) * filler.share;
-    worker->tails.push_back(
-        {image, neighbours.BaseTail(worker->vm, image, now), factor});
+      slowdown +=
+          interference_model.Interference(image, filler.image) * filler.share;
+    worker->latency_outlooks.push_back(
+        {image, interference_model.Baseline(worker->vm, image, now), slowdown});
   }
 }
 
-double DisturbanceOn(const Step& step,
-                     const Worker& worker,
-                     const Neighbours& neighbours,
-                     bool runs_there) {
-  double worst = 0;
+double ExcessLatencyRatio(const Step& step,
+                          const Worker& worker,
+                          const InterferenceModel& interference_model,
+                          bool already_running) {
+  double max_ratio = 0;
   if (step.latency_objective_ms > 0) {
-    double factor = 1;
-    for (const FillingImage& filler : FillingOn(worker))
-      factor += neighbours.Harm(step.image, filler.image) * filler.share;
-    worst = kUsualTail * factor;
+    double slowdown = 1;
+    for (const FillingImage& filler : FillingLoadOn(worker))
+      slowdown += interference_model.Interference(step.image, filler.image) *
+                  filler.share;
+    max_ratio = kDefaultBaseline * slowdown;
   } else if (step.fills) {
-    const double share = runs_there ? 0 : ShareOf(step.size.millicores, worker);
-    for (const TailOutlook& tail : worker.tails) {
-      // An image that hardly adds to the tail is not held back for others.
-      const double harm = neighbours.Harm(tail.image, step.image);
-      if (harm >= kHarmless)
-        worst = std::max(worst, tail.base * (tail.factor + harm * share));
+    const double share =
+        already_running ? 0 : ShareOf(step.size.millicores, worker);
+    for (const LatencyOutlook& outlook : worker.latency_outlooks) {
+      // An image with negligible interference may be placed also where other
+      // images already raise the latency ratio above the bound.
+      const double interference =
+          interference_model.Interference(outlook.image, step.image);
+      if (interference >= kNegligibleInterference)
+        max_ratio =
+            std::max(max_ratio, outlook.baseline *
+                                    (outlook.slowdown + interference * share));
     }
   }
-  return std::max(0.0, worst - kPlacedTail);
+  return std::max(0.0, max_ratio - kMaxPlacementLatencyRatio);
 }
 
-Size FreeRoom(const Worker& worker) {
+Size FreeCapacity(const Worker& worker) {
   return worker.info.capacity - worker.used;
 }
 
-bool MayRun(const Step& step,
-            const PlacementNeed& need,
-            const Worker& worker,
-            absl::Time now) {
+bool IsEligible(const Step& step,
+                const PlacementContext& context,
+                const Worker& worker,
+                absl::Time now) {
   if (!worker.usable || !worker.synced || worker.info.draining ||
-      worker.info.service != need.service || worker.avoid_until > now)
+      worker.info.service != context.service || worker.avoid_until > now)
     return false;
   const auto& labels = worker.info.labels;
   if (!step.required_label.empty() &&
       std::find(labels.begin(), labels.end(), step.required_label) ==
           labels.end())
     return false;
-  return step.max_per_vm == 0 || need.same_step < step.max_per_vm;
+  return step.max_per_vm == 0 || context.same_step < step.max_per_vm;
 }
 
 std::optional<double> PlacementCost(const Step& step,
-                                    const PlacementNeed& need,
+                                    const PlacementContext& context,
                                     const Worker& worker,
-                                    const Neighbours& neighbours,
+                                    const InterferenceModel& interference_model,
                                     absl::Time now) {
-  if (!MayRun(step, need, worker, now))
+  if (!IsEligible(step, context, worker, now))
     return std::nullopt;
-  Size room = step.fills ? LeftOver(worker) : FreeRoom(worker);
+  Size free_capacity =
+      step.fills ? FillingCapacity(worker) : FreeCapacity(worker);
   if (!step.long_running && worker.reserved_until > now)
-    room = room - worker.reserved;
-  if (!Fits(step.size, room))
+    free_capacity = free_capacity - worker.reserved;
+  if (!Fits(step.size, free_capacity))
     return std::nullopt;
-  const double disturbance =
-      DisturbanceOn(step, worker, neighbours, /*runs_there=*/false);
-  if (step.fills && need.can_wait && disturbance > 0)
+  const double excess_ratio = ExcessLatencyRatio(
+      step, worker, interference_model, /*already_running=*/false);
+  if (step.fills && context.can_wait && excess_ratio > 0)
     return std::nullopt;
-  double cost = kSameStep * need.same_step + UsedShare(worker) +
-                kDisturbance * disturbance;
+  double cost = kSameStepWeight * context.same_step + UsedShare(worker) +
+                kExcessRatioWeight * excess_ratio;
   if (step.latency_objective_ms > 0) {
     for (const auto& [image, load] : worker.serving)
-      cost += image == step.image ? -kOtherImage : kOtherImage;
+      cost += image == step.image ? -kOtherImageWeight : kOtherImageWeight;
   }
-  if (need.failed_here)
-    cost += kFailedHere;
+  if (context.failed_here)
+    cost += kFailedHereWeight;
   const std::string rack = RackOf(worker.info);
   if (!step.data_rack.empty() && rack != step.data_rack)
-    cost += kOtherRack;
-  if (!need.rack.empty() && rack != need.rack)
-    cost += kOtherRack;
+    cost += kOtherRackWeight;
+  if (!context.rack.empty() && rack != context.rack)
+    cost += kOtherRackWeight;
   return cost;
 }
 
--- a/submission/place.h
+++ b/submission/place.h
@@ -1,67 +1,69 @@
 #ifndef SUBMISSION_PLACE_H_
 #define SUBMISSION_PLACE_H_
 
-// The choice of a VM for one task.
+// Placement: the cost of running a task on a VM.
 //
-//   std::optional<double> cost = PlacementCost(step, need, worker, neighbours,
-//   now);
+//   std::optional<double> cost =
+//       PlacementCost(step, context, worker, interference_model, now);
 //
-// The VM with the lowest cost gets the task; nullopt means that it must not or
-// does not fit.
+// The VM with the lowest cost gets the task; nullopt means that the task must
+// not run there or does not fit.
 
 #include <cstdint>
 #include <optional>
 #include <string>
 
 #include "absl/time/time.h"
-#include "submission/neighbours.h"
+#include "submission/interference_model.h"
 #include "submission/types.h"
 #include "submission/worker.h"
 
 namespace cuminjunction {
 
-// What placing a task depends on besides its step.
-struct PlacementNeed {
+// State of the task that the placement depends on, besides its step.
+struct PlacementContext {
   std::string service;
-  // Tasks of the same step and occurrence on the VM already.
+  // Tasks of the same step and occurrence that are already on the VM.
   uint32_t same_step = 0;
   // A run of the task failed on the VM.
   bool failed_here = false;
-  // A filling task waits for a VM where it disturbs nobody.
+  // A filling task may wait for a VM where its interference is acceptable.
   bool can_wait = false;
-  // The rack of the step's other tasks, where that matters; empty without.
+  // Rack of the step's other tasks if the step wants a single rack; else empty.
   std::string rack;
 };
 
-// Nullopt when the task must not run on the VM or does not fit. The worker's
-// tails must be fresh.
+// Returns nullopt if the task must not run on the VM or does not fit. Requires
+// RefreshLatencyOutlooks() since the last change of the VM's tasks or samples.
 std::optional<double> PlacementCost(const Step& step,
-                                    const PlacementNeed& need,
+                                    const PlacementContext& context,
                                     const Worker& worker,
-                                    const Neighbours& neighbours,
+                                    const InterferenceModel& interference_model,
                                     absl::Time now);
 
-// True when the VM may run the task at all, whatever runs there now.
-bool MayRun(const Step& step,
-            const PlacementNeed& need,
-            const Worker& worker,
-            absl::Time now);
+// True if the VM may run the task, regardless of its free capacity.
+bool IsEligible(const Step& step,
+                const PlacementContext& context,
+                const Worker& worker,
+                absl::Time now);
 
-// Works out the tails of the serving images on the VM, which hold until its
-// tasks or the looks at them change. They are kept in the worker, since each
-// plan weighs every step against every VM.
-void RefreshTails(const Neighbours& neighbours, absl::Time now, Worker* worker);
+// Computes the latency outlook of the serving images on the VM. It is valid
+// until the VM's tasks or the samples change. The worker caches it, since each
+// planning round weighs every step against every VM.
+void RefreshLatencyOutlooks(const InterferenceModel& interference_model,
+                            absl::Time now,
+                            Worker* worker);
 
-// By how much the worst tail on the VM is expected to be over kPlacedTail with
-// one more task of the step there, in shares of the limit; 0 when none is. A
-// filling task that runs there already is not counted again.
-double DisturbanceOn(const Step& step,
-                     const Worker& worker,
-                     const Neighbours& neighbours,
-                     bool runs_there);
+// By how much the highest expected latency ratio on the VM would exceed
+// kMaxPlacementLatencyRatio with one more task of the step, or 0. Set
+// `already_running` for a filling task that runs there, so that it is not
+// counted twice.
+double ExcessLatencyRatio(const Step& step,
+                          const Worker& worker,
+                          const InterferenceModel& interference_model,
+                          bool already_running);
 
-// The room that is left on a VM.
-Size FreeRoom(const Worker& worker);
+Size FreeCapacity(const Worker& worker);
 
 }  // namespace cuminjunction
 
--- a/submission/policy.h
+++ b/submission/policy.h
@@ -6,7 +6,7 @@
 //   const Queue* queue = policy.Find("shop.example",
 //   "/plans/5c0e7a21d94b36f8");
 //
-// A version is whole and immutable; nodes replace it by a higher one.
+// A version is complete and immutable; nodes replace it by a higher one.
 
 #include <cstdint>
 #include <map>
@@ -16,14 +16,14 @@
 
 namespace cuminjunction {
 
-// The placement of a queue's steps is restricted by a policy that only the
-// platform's adviser knows. An answer takes `decide_ms` and, for each runner,
-// `each_ms`.
+// Restricts the placement of a queue's steps by a policy that only the
+// platform's adviser can evaluate. An answer takes `decide_ms` plus
+// `per_runner_ms` for each runner in the query.
 struct Advice {
   bool required = false;
   int64_t decide_ms = 0;
-  int64_t each_ms = 0;
-  // How long a ticket is valid, in milliseconds.
+  int64_t per_runner_ms = 0;
+  // Validity of a ticket, in milliseconds.
   int64_t valid_ms = 0;
 
   bool operator==(const Advice&) const = default;
@@ -38,10 +38,10 @@
   std::string service;
   // 0 comes first and may preempt others.
   int64_t priority = 0;
-  // How many runs of a task may fail before the submission does.
+  // The submission fails when this many runs of one task have failed.
   uint32_t max_attempts = 1;
   // The objective of a submission is `stretch` times its longest chain of
-  // tasks and `objective_ms` milliseconds more.
+  // tasks, plus `objective_ms` milliseconds.
   double stretch = 1;
   int64_t objective_ms = 0;
   Advice advice;
@@ -53,17 +53,17 @@
   // 0 until a configuration has been read.
   int64_t version = 0;
   std::vector<Queue> queues;
-  // Services whose runners refuse what does not fit.
+  // By service: true if its runners reject tasks that do not fit.
   std::map<std::string, bool> enforces_capacity;
-  // The most bytes of a request body.
+  // Largest size of a request body, in bytes.
   int64_t max_body_bytes = 0;
 
   bool operator==(const FleetPolicy&) const = default;
 
-  // The queue with the longest prefix of `path` on this host, or null.
+  // Returns the queue with the longest prefix of `path` on this host, or null.
   const Queue* Find(std::string_view host, std::string_view path) const;
 
-  // The queue of this name, or null.
+  // Returns the queue of this name, or null.
   const Queue* FindByName(std::string_view name) const;
 };
 
--- a/submission/progress.h
+++ b/submission/progress.h
@@ -1,11 +1,11 @@
 #ifndef SUBMISSION_PROGRESS_H_
 #define SUBMISSION_PROGRESS_H_
 
-// What the store keeps of a submission's progress.
+// The stored progress of a submission.
 //
-// Only facts that another planner could not learn from the runners are stored:
-// which tasks are done, which runs failed, the checkpoints of tasks that were
-// stopped, and the final state.
+// Only state that another planner cannot learn from the runners is stored: the
+// tasks that are done, the runs that failed, the checkpoints of stopped tasks,
+// and the final state.
 
 #include <cstdint>
 #include <string>
@@ -16,14 +16,15 @@
 
 namespace cuminjunction {
 
-// A task that has more to keep than whether it is done.
+// A task that is not done and has a checkpoint or failed runs. For other tasks,
+// Progress::done is enough.
 struct TaskProgress {
   uint32_t occurrence = 0;
   uint32_t step = 0;
   uint32_t index = 0;
   uint32_t last_run = 0;
-  // Numbers of the runs that failed. A set and not a count, since the same end
-  // may be reported to two planners.
+  // Numbers of the runs that failed. A set instead of a count, since the same
+  // end may be reported to two planners.
   std::vector<uint32_t> failed_runs;
   std::string checkpoint;
 
@@ -36,29 +37,29 @@
   }
 };
 
-// The row of a submission. Once it has ended, only its id, its queue and how
-// it ended are kept, so that a new planner has little to read.
+// The row of a submission. After its end only its id, its queue and its final
+// state are stored, so that a new planner has little to read.
 struct SubmissionRow {
   Submission submission;
-  // kQueued until it has ended.
-  SubmissionState end = SubmissionState::kQueued;
-  // When it ended, in milliseconds of the system clock.
+  // kQueued until the submission has ended.
+  SubmissionState final_state = SubmissionState::kQueued;
+  // Time of the end, in milliseconds of the system clock.
   int64_t ended_ms = 0;
 
   bool operator==(const SubmissionRow&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    auto raw = static_cast<uint8_t>(this->end);
+    auto raw = static_cast<uint8_t>(this->final_state);
     archive(this->submission, raw, this->ended_ms);
-    this->end = static_cast<SubmissionState>(raw);
+    this->final_state = static_cast<SubmissionState>(raw);
   }
 };
 
 struct Progress {
   SubmissionState state = SubmissionState::kQueued;
-  // A bitmap of the done tasks for each step, occurrence by occurrence. Empty
-  // once the state is final; such a progress is not stored.
+  // A bitmap of the tasks that are done for each step, occurrence by
+  // occurrence. Empty once the state is final; such a progress is not stored.
   std::vector<std::string> done;
   std::vector<TaskProgress> tasks;
 
--- a/submission/rank.cc
+++ b/submission/rank.cc
@@ -2,20 +2,23 @@
 
 namespace cuminjunction {
 
-Outlook OutlookOf(const RankFacts& facts) {
-  if (facts.earliest_end <= facts.objective_end)
-    return Outlook::kInTime;
-  const absl::Duration whole = facts.objective_end - facts.begin;
-  if (facts.earliest_end <= facts.begin + kLateFactor * whole)
-    return Outlook::kLate;
-  return Outlook::kHopeless;
+ObjectiveOutlook ObjectiveOutlookOf(const RankInputs& inputs) {
+  if (inputs.earliest_completion <= inputs.objective_deadline)
+    return ObjectiveOutlook::kInTime;
+  const absl::Duration objective =
+      inputs.objective_deadline - inputs.objective_start;
+  if (inputs.earliest_completion <=
+      inputs.objective_start + kLateFactor * objective)
+    return ObjectiveOutlook::kLate;
+  return ObjectiveOutlook::kHopeless;
 }
 
-Rank RankOf(const RankFacts& facts) {
-  const Outlook outlook = OutlookOf(facts);
-  const bool hopeless = !facts.long_running && outlook == Outlook::kHopeless;
-  return {!facts.long_running, hopeless, facts.priority, outlook,
-          facts.work_left};
+Rank RankOf(const RankInputs& inputs) {
+  const ObjectiveOutlook outlook = ObjectiveOutlookOf(inputs);
+  const bool hopeless =
+      !inputs.long_running && outlook == ObjectiveOutlook::kHopeless;
+  return {!inputs.long_running, hopeless, inputs.priority, outlook,
+          inputs.remaining_work};
 }
 
 }  // namespace cuminjunction
--- a/submission/rank.h
+++ b/submission/rank.h
@@ -1,18 +1,21 @@
 #ifndef SUBMISSION_RANK_H_
 #define SUBMISSION_RANK_H_
 
-// The order in which submissions get room.
+// The order in which submissions are given capacity.
 //
-//   std::sort(jobs, by Rank(facts of the job, now));
+//   std::sort(candidates.begin(), candidates.end(), [](auto& a, auto& b) {
+//     return RankOf(a.inputs) < RankOf(b.inputs);
+//   });
 //
-// Load pattern: a burst of large submissions beyond the capacity of the fleet.
-// First come, first served then makes every submission late. Instead those
-// that can still meet their objective go first, the ones with the least work
-// left before others, since they finish the most submissions with the room
-// that there is. Late submissions follow while they still earn something, and
-// hopeless ones come last but are never dropped. Tasks that last go before all,
-// since they lose with every second, and a submission that has begun keeps its
-// turn because its work left shrinks.
+// Load pattern: a burst of large submissions beyond the capacity of the fleet,
+// where first come, first served makes every submission late. Submissions that
+// can still meet their objective come first, and among them those with the
+// least remaining work, since that completes the most submissions with the
+// available capacity. Late submissions follow while their completion still has
+// a value. Hopeless ones come last but are never dropped. Long-running
+// submissions come before all others, since every second without them is lost.
+// A submission that has begun keeps its place because its remaining work
+// shrinks.
 
 #include <cstdint>
 #include <tuple>
@@ -21,43 +24,45 @@
 
 namespace cuminjunction {
 
-// A submission is late beyond its objective, and hopeless beyond this multiple
-// of it. The users' rules state the figure.
+// A submission is late after its objective, and hopeless after this multiple of
+// it. The users' rules state the figure.
 inline constexpr double kLateFactor = 3.0;
 
-struct RankFacts {
-  // The submission's steps run until it is cancelled.
+struct RankInputs {
+  // Some steps of the submission run until it is cancelled.
   bool long_running = false;
-  // 0 comes first.
+  // Queue priority; 0 comes first.
   int64_t priority = 0;
-  // From when the objective counts: acceptance, or the due time.
-  absl::Time begin;
-  // Whole objective: stretch times the longest chain and a constant.
-  absl::Time objective_end;
-  // Estimated time of the longest chain of tasks that is left.
-  absl::Time earliest_end;
-  // Estimated work left, in thousandths of a core times seconds.
-  double work_left = 0;
+  // Start of the objective: the acceptance, or the due time of a scheduled
+  // occurrence.
+  absl::Time objective_start;
+  // End of the objective: `stretch` times the longest chain of tasks plus a
+  // constant, from objective_start.
+  absl::Time objective_deadline;
+  // Estimated completion of the longest chain of remaining tasks.
+  absl::Time earliest_completion;
+  // Estimated remaining work, in millicore-seconds.
+  double remaining_work = 0;
 };
 
-// How a submission stands against its objective.
-enum class Outlook : uint8_t { kInTime, kLate, kHopeless };
+// Whether a submission can be expected to meet its objective.
+enum class ObjectiveOutlook : uint8_t { kInTime, kLate, kHopeless };
 
-Outlook OutlookOf(const RankFacts& facts);
+ObjectiveOutlook ObjectiveOutlookOf(const RankInputs& inputs);
 
-// Sorts submissions: the lowest first.
+// Sort key of a submission; the lowest comes first.
 struct Rank {
-  bool not_lasting = false;
+  bool not_long_running = false;
   bool hopeless = false;
   int64_t priority = 0;
-  Outlook outlook = Outlook::kInTime;
-  double work_left = 0;
+  ObjectiveOutlook outlook = ObjectiveOutlook::kInTime;
+  double remaining_work = 0;
 
   auto operator<=>(const Rank&) const =
       default;  // NOLINT(modernize-use-nullptr)
 };
 
-Rank RankOf(const RankFacts& facts);
+Rank RankOf(const RankInputs& inputs);
 
 }  // namespace cuminjunction
 
--- a/submission/scheduler.h
+++ b/submission/scheduler.h
@@ -1,19 +1,19 @@
 #ifndef SUBMISSION_SCHEDULER_H_
 #define SUBMISSION_SCHEDULER_H_
 
-// The planner's decisions about submissions: what starts where, what stops,
-// and what must be stored.
+// The planner's decisions about submissions: what to start on which VM, what to
+// stop, and what to store.
 //
 //   Scheduler scheduler;
-//   scheduler.SetPolicy(policy, now);
+//   scheduler.SetPolicy(policy);
 //   scheduler.Add(submission, std::nullopt, {}, now, wall);
-//   scheduler.Sync(report, now);
+//   scheduler.MergeReport(report, now);
 //   for (const StartOrder& start : scheduler.Plan(now).starts) ...
 //
-// It has no sockets, threads or clocks. Starts are not stored, so after a
-// takeover a task of an earlier planner is `uncertain`: it is not started until
-// every worker that the earlier planner knew has reported or lost its
-// authority. See docs/deployment.md.
+// The scheduler has no sockets, threads or clocks. Starts are not stored. After
+// a takeover the runs of an earlier planner are therefore unresolved: a task is
+// not started until every worker of the earlier planner has reported or its
+// grant has expired. See docs/deployment.md.
 
 #include <cstdint>
 #include <map>
@@ -27,7 +27,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "absl/time/time.h"
 #include "submission/active.h"
-#include "submission/neighbours.h"
+#include "submission/interference_model.h"
 #include "submission/permits.h"
 #include "submission/policy.h"
 #include "submission/progress.h"
@@ -45,11 +45,11 @@
   const std::string* text = nullptr;
   const Step* step = nullptr;
   std::string checkpoint;
-  // The adviser's ticket; empty without.
+  // The adviser's ticket; empty if the queue needs none.
   std::string ticket;
-  // When the step could first start.
+  // Time when the step could first start.
   absl::Time ready_since;
-  // For the log: used share of the VM and free room there.
+  // Placement cost of the VM, for the log.
   double cost = 0;
 };
 
@@ -57,7 +57,7 @@
   std::string vm;
   TaskRef task;
   uint32_t run = 0;
-  // "cancelled", "failed", "unknown" or "preempted".
+  // Cause for the log, such as "cancelled" or "preempted".
   std::string_view reason;
 };
 
@@ -67,27 +67,28 @@
   std::vector<PermitQuery> queries;
 };
 
-// Everything that an agent says of its runner.
+// Full report of an agent about its runner.
 struct WorkerReport {
   std::string vm;
   RunnerInfo info;
-  // The runner answers.
+  // The runner responds to the agent.
   bool alive = false;
-  // Runs, with starts that the agent has taken and not finished.
+  // Runs on the runner, including starts that the agent has received and not
+  // completed.
   std::vector<ActiveRun> running;
   std::vector<EndedRun> ended;
 };
 
 enum class StartOutcome : uint8_t {
   kStarted,
-  kNoRoom,
+  kNoCapacity,
   kRefused,
-  kOldRun,
-  // The adviser's ticket was not valid.
-  kNoTicket,
+  kStaleRun,
+  // The runner rejected the adviser's ticket.
+  kInvalidTicket,
 };
 
-// A change of a submission that callers see.
+// A state change that callers can observe.
 struct StateChange {
   std::string submission;
   SubmissionState state = SubmissionState::kQueued;
@@ -95,200 +96,210 @@
 
 class Scheduler {
  public:
-  // Takes a configuration of a higher version.
+  // Replaces the configuration if `policy` has a higher version.
   void SetPolicy(const FleetPolicy& policy);
 
-  // Adds a submission unless it is known. `now` is of the boot clock, as in all
-  // calls, and `wall` of the system clock, at the same moment.
+  // Adds a submission unless it is already present. `now` is of the boot clock,
+  // as in all methods, and `wall` of the system clock, at the same moment.
   void Add(const Submission& submission,
            const std::optional<Progress>& progress,
-           Certainty certainty,
+           PriorRuns prior_runs,
            absl::Time now,
            absl::Time wall);
 
-  // Adds a submission that an earlier planner has seen end at this time.
+  // Adds a submission that ended under an earlier planner, at this time.
   void AddEnded(const std::string& id,
                 const std::string& queue,
                 SubmissionState state,
                 absl::Time ended);
 
-  // Cancels a submission, also one that is added later.
+  // Cancels a submission. The cancellation also applies to a submission that is
+  // added later.
   void Cancel(const std::string& id);
 
-  // Tells of a worker that an earlier planner may have given work, whose
-  // authority ends at the latest at this time.
-  void ExpectWorker(const std::string& vm, absl::Time inherited_end);
+  // Registers a worker on which an earlier planner may have started runs, and
+  // the latest grant deadline that it can have from that planner.
+  void ExpectWorker(const std::string& vm, absl::Time inherited_grant_deadline);
 
-  // No authority of an earlier planner lasts longer than this.
-  void LimitInherited(absl::Time end);
+  // Lowers the deadline of all inherited grants to at most this time.
+  void LimitInheritedGrants(absl::Time deadline);
 
-  // Takes a whole report, after which the worker's connection may carry
-  // orders.
-  void Sync(const WorkerReport& report, absl::Time now);
+  // Merges a full report, after which orders may be sent to the worker.
+  void MergeReport(const WorkerReport& report, absl::Time now);
 
-  // Takes a change of what the runner says of itself in the same life.
+  // Updates the description of a runner within the same incarnation.
   void UpdateInfo(const std::string& vm, const RunnerInfo& info, bool alive);
 
-  void Disconnected(const std::string& vm);
+  void OnDisconnected(const std::string& vm);
 
-  // A grant was sent that ends at the latest at this time.
-  void ExtendAuthority(const std::string& vm, absl::Time end);
+  // Records that a grant was sent with this latest possible deadline.
+  void ExtendGrant(const std::string& vm, absl::Time deadline);
 
-  // Ends the runs of workers whose authority has passed. To be called only
+  // Releases the runs of workers whose grants have expired. Call this only
   // while no other planner can have granted more.
-  void Expire(absl::Time now);
+  void ExpireGrants(absl::Time now);
 
   void OnStartResult(const std::string& vm,
                      const TaskRef& task,
                      uint32_t run,
-                     StartOutcome outcome,
+                     StartOutcome start_outcome,
                      absl::Time now);
 
-  // A runner has taken the start of a task of this submission.
+  // Records that a runner has started a task of this submission.
   void OnStarted(const std::string& id);
 
-  void OnEnded(const std::string& vm, const EndedRun& end, absl::Time now);
-
-  // Takes a look at a serving task; see Neighbours.
-  void Observe(const std::string& vm,
-               const std::string& serving,
-               double tail,
-               const FillingLoad& filling,
-               absl::Time now) {
-    this->neighbours.Observe(vm, serving, tail, filling, now);
+  void OnEnded(const std::string& vm,
+               const EndedRun& ended_run,
+               absl::Time now);
+
+  // Adds a latency sample of a serving image; see InterferenceModel.
+  void AddLatencySample(const std::string& vm,
+                        const std::string& serving,
+                        double latency_ratio,
+                        const FillingLoad& filling,
+                        absl::Time now) {
+    this->interference_model.AddSample(vm, serving, latency_ratio, filling,
+                                       now);
   }
 
-  // Takes what an agent has learned, also from an earlier planner.
-  void Adopt(const std::vector<PairEvidence>& pairs) {
-    this->neighbours.Adopt(pairs);
+  // Merges the interference estimates of an agent, which may come from an
+  // earlier planner.
+  void MergeInterference(const std::vector<InterferenceEstimate>& pairs) {
+    this->interference_model.Merge(pairs);
   }
 
-  // What is known of the pairs of images on a VM.
-  std::vector<PairEvidence> PairsOn(const std::string& vm) const;
+  // Interference estimates of the pairs of images on a VM.
+  std::vector<InterferenceEstimate> InterferenceOn(const std::string& vm) const;
 
-  // Takes the adviser's answer to a query, or that there is none.
+  // Handles the adviser's answer to a query, or its failure.
   void OnPermits(const PermitQuery& query,
                  const std::vector<GrantedRunner>& granted,
                  absl::Time valid_until) {
-    this->permits.OnGranted(query, granted, valid_until);
+    this->permits.OnAnswer(query, granted, valid_until);
   }
   void OnPermitsFailed(const PermitQuery& query, absl::Time now) {
     this->permits.OnFailed(query, now);
   }
 
-  // How long the adviser needs for a query.
+  // Expected duration of the adviser's answer to a query.
   absl::Duration AdviceTime(const PermitQuery& query) const;
 
-  // Decides what to start and stop now.
+  // Returns the starts, stops and permit queries to send now.
   Orders Plan(absl::Time now);
 
-  // Submissions whose progress must be stored, with what to store. Of one with
-  // a final state, the row SubmissionRow takes the place of both its rows.
+  // Returns the submissions whose progress must be stored. For a final state,
+  // one SubmissionRow replaces both rows of the submission.
   std::vector<std::pair<std::string, Progress>> TakeDirty();
 
-  // What is stored of a submission that has ended.
+  // The row to store for a submission that has ended.
   SubmissionRow EndedRow(const std::string& id, absl::Time wall) const;
 
-  // The final state of a submission that TakeDirty() returned is in the store.
+  // Records that the final state returned by TakeDirty() is in the store.
   void MarkStored(const std::string& id, SubmissionState state, absl::Time now);
 
-  // At most `most` submissions that ended before this time, the oldest first.
-  // Each is returned once, and is known until Forget() is called.
-  std::vector<std::string> TakeEndedBefore(absl::Time time, size_t most);
+  // Returns at most `max_count` submissions that ended before this time, the
+  // oldest first. Each is returned once, and stays present until Forget().
+  std::vector<std::string> TakeEndedBefore(absl::Time time, size_t max_count);
 
-  // Forgets a submission that TakeEndedBefore() returned.
+  // Removes a submission that TakeEndedBefore() returned.
   void Forget(const std::string& id);
 
-  // Changes to states that need no storing, since the last call.
+  // Returns the state changes since the last call that need not be stored.
   std::vector<StateChange> TakeChanges();
 
-  // States of all known submissions, without final ones that are not stored.
+  // States of all submissions. A final state that is not stored yet is reported
+  // as running.
   std::vector<StateChange> AllStates() const;
 
-  // Submissions of which no task is known to have started, by queue.
+  // Number of submissions without a started task, by queue.
   std::map<std::string, uint64_t> WaitingCounts() const;
 
-  bool Knows(const std::string& id) const { return this->jobs.contains(id); }
+  bool HasSubmission(const std::string& id) const {
+    return this->submissions.contains(id);
+  }
 
-  // True when all these runs and ends are of known submissions. An agent may
-  // tell of a submission that was stored after this planner had read the table
-  // and started by the planner before it; its row must be read before Sync() or
-  // OnEnded(), which take an unknown submission for one that does not exist.
-  bool KnowsAll(const std::vector<ActiveRun>& running,
-                const std::vector<EndedRun>& ended) const;
+  // True if the submissions of all these runs are present. An agent may report
+  // a run of a submission that was stored after this planner read the table,
+  // and that the previous planner started. Read its row before MergeReport() or
+  // OnEnded(), which treat an unknown submission as one that does not exist.
+  bool HasSubmissionsOf(const std::vector<ActiveRun>& running,
+                        const std::vector<EndedRun>& ended) const;
   const Worker* FindWorker(const std::string& vm) const;
   size_t WorkerCount() const { return this->workers.size(); }
-  // Workers of earlier planners that have not reported.
+  // Workers of earlier planners that have neither reported nor lost their
+  // grants.
   size_t UnresolvedCount() const { return this->unresolved.size(); }
   size_t LiveCount() const { return this->live.size(); }
 
  private:
-  struct Candidate;
+  struct StepCandidate;
 
-  Worker& MakeWorker(const std::string& vm);
+  Worker& GetOrAddWorker(const std::string& vm);
   ActiveSubmission* FindActive(const std::string& id);
-  void Place(ActiveSubmission* job,
+  void Place(ActiveSubmission* active,
              const TaskRef& task,
              TaskSlot* slot,
              Worker* worker,
              uint32_t run,
              absl::Time now);
-  void Release(ActiveSubmission* job, const TaskRef& task, TaskSlot* slot);
-  void LoseRuns(Worker* worker, const std::set<TaskRef>& kept);
-  void Finish(ActiveSubmission* job, SubmissionState state);
-  void CountDone(ActiveSubmission* job, const TaskRef& task);
-  void FinishGang(ActiveSubmission* job, const TaskRef& task);
-  void NoteFailure(Worker* worker, const TaskSlot& slot, absl::Time now);
+  void Release(ActiveSubmission* active, const TaskRef& task, TaskSlot* slot);
+  void DropRunsExcept(Worker* worker, const std::set<TaskRef>& reported);
+  void EndSubmission(ActiveSubmission* active, SubmissionState state);
+  void CompleteTask(ActiveSubmission* active, const TaskRef& task);
+  void CompleteGang(ActiveSubmission* active, const TaskRef& task);
+  void CountWorkerFailure(Worker* worker, const TaskSlot& slot, absl::Time now);
   void StopUnwanted(Orders* orders);
   void AddOccurrences(absl::Time now);
-  std::vector<Candidate> Candidates(absl::Time now);
-  void StartStep(Candidate* candidate, Orders* orders, absl::Time now);
-  void StartGang(Candidate* candidate, Orders* orders, absl::Time now);
-  // Counts the placed tasks of the candidate's step.
-  void CountPlaced(Candidate* candidate);
-  Worker* Choose(const Candidate& candidate,
-                 const TaskSlot& slot,
-                 absl::Time now,
-                 double* cost);
-  void Evacuate(Orders* orders, absl::Time now);
-  void MoveDisturbers(Orders* orders, absl::Time now);
-  void Preempt(const Candidate& candidate, Orders* orders, absl::Time now);
+  std::vector<StepCandidate> CollectCandidates(absl::Time now);
+  void StartStep(StepCandidate* candidate, Orders* orders, absl::Time now);
+  void StartGang(StepCandidate* candidate, Orders* orders, absl::Time now);
+  // Recounts the placed tasks of the candidate's step by VM.
+  void CountPlaced(StepCandidate* candidate);
+  Worker* ChooseWorker(const StepCandidate& candidate,
+                       const TaskSlot& slot,
+                       absl::Time now,
+                       double* cost);
+  void EvacuateDraining(Orders* orders, absl::Time now);
+  void MoveInterferingTasks(Orders* orders, absl::Time now);
+  void Preempt(const StepCandidate& candidate, Orders* orders, absl::Time now);
   bool MayStart(const TaskSlot& slot, absl::Time now) const;
-  void Order(Candidate* candidate,
-             uint32_t index,
-             Worker* worker,
-             uint32_t run,
-             double cost,
-             Orders* orders,
-             absl::Time now);
-
-  // Asks for more permits of a step that has tasks without a VM.
-  void AskForPermits(const Candidate& candidate,
-                     Orders* orders,
-                     absl::Time now);
-  // The ticket for a step on the worker, empty when it needs none; null when it
-  // needs one and has none.
-  const std::string* TicketFor(const ActiveSubmission& job,
+  void OrderStart(StepCandidate* candidate,
+                  uint32_t index,
+                  Worker* worker,
+                  uint32_t run,
+                  double cost,
+                  Orders* orders,
+                  absl::Time now);
+
+  // Queries the adviser for a step that has tasks without a VM.
+  void QueryPermits(const StepCandidate& candidate,
+                    Orders* orders,
+                    absl::Time now);
+  // Returns the ticket for a step on the worker, empty if it needs none, or
+  // null if it needs one and there is none.
+  const std::string* TicketFor(const ActiveSubmission& active,
                                uint32_t occurrence,
                                uint32_t step,
                                const Worker& worker,
                                absl::Time now) const;
 
   FleetPolicy policy;
-  Neighbours neighbours;
+  InterferenceModel interference_model;
   Permits permits;
-  absl::flat_hash_map<std::string, std::unique_ptr<ActiveSubmission>> jobs;
-  // Submissions that are not final, or have runs left.
+  absl::flat_hash_map<std::string, std::unique_ptr<ActiveSubmission>>
+      submissions;
+  // Ids of submissions whose state is not final.
   std::set<std::string> live;
-  std::set<std::string> cancelled_ahead;
-  // Submissions whose end is stored, by the time of the end.
+  std::set<std::string> cancelled_before_add;
+  // Submissions whose final state is stored, by the time when they ended.
   std::set<std::pair<absl::Time, std::string>> ended;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   std::set<std::string> unresolved;
   std::set<std::string> dirty;
   std::vector<StateChange> changes;
   absl::Time next_move = absl::InfinitePast();
-  // Runs that must end: of unknown or final submissions.
+  // Runs that must be stopped: those of unknown or final submissions, stale
+  // ones, and second runs of a task that is done.
   std::vector<StopOrder> unwanted;
 };
 
--- a/submission/scheduler_plan.cc
+++ b/submission/scheduler_plan.cc
@@ -8,43 +8,46 @@
 
 namespace {
 
-// How long room is kept for a task that lasts after others were stopped for
-// it: longer than a stop takes on either site (900 ms).
-constexpr absl::Duration kReservation = absl::Seconds(2);
+// How long capacity is reserved for a long-running task after others were
+// stopped for it: longer than a stop takes on either site (900 ms).
+constexpr absl::Duration kReservationDuration = absl::Seconds(2);
 
-// How long a submission with nothing running waits for a VM where its filling
-// tasks disturb nobody. The platform's rules want work to start within 3 s
-// where there is room.
-constexpr absl::Duration kMaxWaitForQuiet = absl::Milliseconds(2200);
+// How long a step without running tasks waits for a VM where its filling tasks
+// do not interfere. The platform's rules require work to start within 3 s where
+// there is capacity.
+constexpr absl::Duration kMaxPlacementWait = absl::Milliseconds(2200);
 
-// A task with less estimated time left stays on a runner that drains.
-constexpr absl::Duration kWorthMoving = absl::Seconds(1);
+// A checkpointed task with less estimated time left stays on a draining runner.
+constexpr absl::Duration kMinRemainingToMove = absl::Seconds(1);
 
-// Filling tasks that disturb are moved at most this often, a few at a time,
-// and not before they have run for a while: a move costs a stop and a restore.
+// Interfering filling tasks are moved at most this often, a few at a time, and
+// only after they have run for a while: a move costs a stop and a restore from
+// a checkpoint.
 constexpr absl::Duration kMoveInterval = absl::Milliseconds(300);
-constexpr int kMovesAtATime = 2;
+constexpr int kMaxMovesPerRound = 2;
 constexpr absl::Duration kMinRunBeforeMove = absl::Seconds(1);
 
 }  // namespace
 
 // A step of one occurrence that has tasks to start.
-struct Scheduler::Candidate {
-  ActiveSubmission* job = nullptr;
+struct Scheduler::StepCandidate {
+  ActiveSubmission* active = nullptr;
   uint32_t occurrence = 0;
   uint32_t step = 0;
   Rank rank;
-  // Tasks of the step by VM, and the rack of one of them where the step wants
-  // one rack; see CountPlaced().
+  // Placed tasks of the step by VM, and the rack of one of them if the step
+  // wants a single rack; see CountPlaced().
   std::map<std::string, uint32_t> same_step;
   std::string rack;
 
   StepSlots& Slots() const {
-    return this->job->occurrences[this->occurrence].steps[this->step];
+    return this->active->occurrences[this->occurrence].steps[this->step];
+  }
+  const Step& Spec() const {
+    return this->active->submission.steps[this->step];
   }
-  const Step& Spec() const { return this->job->submission.steps[this->step]; }
   TaskRef Task(uint32_t index) const {
-    return {this->job->submission.id, this->occurrence, this->step, index};
+    return {this->active->submission.id, this->occurrence, this->step, index};
   }
 };
 
@@ -52,47 +55,48 @@
   Orders orders;
   this->AddOccurrences(now);
   this->StopUnwanted(&orders);
-  this->Evacuate(&orders, now);
+  this->EvacuateDraining(&orders, now);
   for (auto& [vm, worker] : this->workers)
-    RefreshTails(this->neighbours, now, worker.get());
-  std::vector<Candidate> candidates = this->Candidates(now);
-  std::stable_sort(
-      candidates.begin(), candidates.end(),
-      [](const Candidate& a, const Candidate& b) { return a.rank < b.rank; });
-  for (Candidate& candidate : candidates) {
+    RefreshLatencyOutlooks(this->interference_model, now, worker.get());
+  std::vector<StepCandidate> candidates = this->CollectCandidates(now);
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const StepCandidate& a, const StepCandidate& b) {
+                     return a.rank < b.rank;
+                   });
+  for (StepCandidate& candidate : candidates) {
     if (candidate.Spec().gang)
       this->StartGang(&candidate, &orders, now);
     else
       this->StartStep(&candidate, &orders, now);
-    if (candidate.job->queue.advice.required && candidate.Slots().Idle() > 0)
-      this->AskForPermits(candidate, &orders, now);
+    if (candidate.active->queue.advice.required && candidate.Slots().Idle() > 0)
+      this->QueryPermits(candidate, &orders, now);
   }
   if (now >= this->next_move) {
     this->next_move = now + kMoveInterval;
-    this->MoveDisturbers(&orders, now);
+    this->MoveInterferingTasks(&orders, now);
   }
   return orders;
 }
 
-// A runner that drains takes what is on it along when it leaves, at the
-// earliest 2 s after it said so. What lasts moves at once, and what has a
-// checkpoint unless it is about to end; the rest may end in time.
-void Scheduler::Evacuate(Orders* orders, absl::Time now) {
+// A draining runner leaves, with all its runs, no sooner than 2 s after it has
+// reported that it drains. Long-running tasks move at once, and checkpointed
+// ones unless they are about to end; the others may end in time.
+void Scheduler::EvacuateDraining(Orders* orders, absl::Time now) {
   for (auto& [vm, worker] : this->workers) {
     if (!worker->synced || !worker->info.draining)
       continue;
     for (auto& [task, placed] : worker->placed) {
       if (placed.stopping || (!placed.long_running && !placed.checkpointed))
         continue;
-      ActiveSubmission* job = this->FindActive(task.submission);
-      if (job == nullptr || IsFinal(job->state) ||
-          job->submission.steps[task.step].gang)
+      ActiveSubmission* active = this->FindActive(task.submission);
+      if (active == nullptr || IsFinal(active->state) ||
+          active->submission.steps[task.step].gang)
         continue;
       const absl::Duration left =
-          placed.since +
-          absl::Milliseconds(job->submission.steps[task.step].estimate_ms) -
+          placed.placed_at +
+          absl::Milliseconds(active->submission.steps[task.step].estimate_ms) -
           now;
-      if (!placed.long_running && left < kWorthMoving)
+      if (!placed.long_running && left < kMinRemainingToMove)
         continue;
       placed.stopping = true;
       orders->stops.push_back({vm, task, placed.run, "draining"});
@@ -100,39 +104,40 @@
   }
 }
 
-void Scheduler::MoveDisturbers(Orders* orders, absl::Time now) {
+void Scheduler::MoveInterferingTasks(Orders* orders, absl::Time now) {
   int moves = 0;
   for (auto& [vm, worker] : this->workers) {
     if (!worker->synced || worker->serving.empty())
       continue;
     for (auto& [task, placed] : worker->placed) {
       if (!placed.fills || !placed.checkpointed || placed.stopping ||
-          now - placed.since < kMinRunBeforeMove)
+          now - placed.placed_at < kMinRunBeforeMove)
         continue;
-      ActiveSubmission* job = this->FindActive(task.submission);
-      if (job == nullptr || IsFinal(job->state))
+      ActiveSubmission* active = this->FindActive(task.submission);
+      if (active == nullptr || IsFinal(active->state))
         continue;
-      const Step& step = job->submission.steps[task.step];
-      if (step.gang || DisturbanceOn(step, *worker, this->neighbours,
-                                     /*runs_there=*/true) <= 0)
+      const Step& step = active->submission.steps[task.step];
+      if (step.gang ||
+          ExcessLatencyRatio(step, *worker, this->interference_model,
+                             /*already_running=*/true) <= 0)
         continue;
-      PlacementNeed need;
-      need.service = job->queue.service;
-      need.can_wait = true;
-      const TaskRef& name = task;
-      const bool better = std::any_of(
+      PlacementContext context;
+      context.service = active->queue.service;
+      context.can_wait = true;
+      const TaskRef& task_ref = task;
+      const bool has_better_vm = std::any_of(
           this->workers.begin(), this->workers.end(), [&](const auto& other) {
-            return this->TicketFor(*job, name.occurrence, name.step,
+            return this->TicketFor(*active, task_ref.occurrence, task_ref.step,
                                    *other.second, now) != nullptr &&
-                   PlacementCost(step, need, *other.second, this->neighbours,
-                                 now)
+                   PlacementCost(step, context, *other.second,
+                                 this->interference_model, now)
                        .has_value();
           });
-      if (!better)
+      if (!has_better_vm)
         continue;
       placed.stopping = true;
       orders->stops.push_back({vm, task, placed.run, "disturbs"});
-      if (++moves >= kMovesAtATime)
+      if (++moves >= kMaxMovesPerRound)
         return;
     }
   }
@@ -140,16 +145,16 @@
 
 void Scheduler::AddOccurrences(absl::Time now) {
   for (const std::string& id : this->live) {
-    ActiveSubmission* job = this->FindActive(id);
-    if (job->submission.scheduled)
-      AddDueOccurrences(job, {}, now);
+    ActiveSubmission* active = this->FindActive(id);
+    if (active->submission.scheduled)
+      AddDueOccurrences(active, {}, now);
   }
 }
 
 void Scheduler::StopUnwanted(Orders* orders) {
   for (StopOrder& stop : this->unwanted) {
-    Worker& worker = this->MakeWorker(stop.vm);
-    // A worker that is away is told when it reports.
+    Worker& worker = this->GetOrAddWorker(stop.vm);
+    // A disconnected worker receives the stop after its next report.
     if (!worker.synced)
       continue;
     const auto placed = worker.placed.find(stop.task);
@@ -160,24 +165,27 @@
   this->unwanted.clear();
 }
 
-std::vector<Scheduler::Candidate> Scheduler::Candidates(absl::Time now) {
-  std::vector<Candidate> candidates;
+std::vector<Scheduler::StepCandidate> Scheduler::CollectCandidates(
+    absl::Time now) {
+  std::vector<StepCandidate> candidates;
   for (const std::string& id : this->live) {
-    ActiveSubmission* job = this->FindActive(id);
-    for (uint32_t number = 0; number < job->occurrences.size(); ++number) {
-      const OccurrenceSlots& occurrence = job->occurrences[number];
+    ActiveSubmission* active = this->FindActive(id);
+    for (uint32_t occurrence_index = 0;
+         occurrence_index < active->occurrences.size(); ++occurrence_index) {
+      const OccurrenceSlots& occurrence = active->occurrences[occurrence_index];
       if (occurrence.steps_done == occurrence.steps.size())
         continue;
       std::optional<Rank> rank;
       for (uint32_t step = 0; step < occurrence.steps.size(); ++step) {
         if (occurrence.steps[step].Idle() == 0 ||
-            !IsReady(*job, occurrence, step))
+            !IsReady(*active, occurrence, step))
           continue;
-        absl::Time& since = job->occurrences[number].steps[step].ready_since;
+        absl::Time& since =
+            active->occurrences[occurrence_index].steps[step].ready_since;
         since = std::min(since, now);
         if (!rank)
-          rank = RankOf(FactsOf(*job, occurrence, now));
-        candidates.push_back({job, number, step, *rank, {}, {}});
+          rank = RankOf(RankInputsOf(*active, occurrence, now));
+        candidates.push_back({active, occurrence_index, step, *rank, {}, {}});
       }
     }
   }
@@ -186,10 +194,10 @@
 
 bool Scheduler::MayStart(const TaskSlot& slot, absl::Time now) const {
   return slot.phase == TaskPhase::kIdle && slot.not_before <= now &&
-         (slot.certain || this->unresolved.empty());
+         (slot.resolved || this->unresolved.empty());
 }
 
-void Scheduler::CountPlaced(Candidate* candidate) {
+void Scheduler::CountPlaced(StepCandidate* candidate) {
   candidate->same_step.clear();
   candidate->rack.clear();
   for (const TaskSlot& other : candidate->Slots().tasks) {
@@ -197,29 +205,29 @@
       continue;
     ++candidate->same_step[other.vm];
     if (candidate->Spec().single_rack && candidate->rack.empty())
-      candidate->rack = RackOf(this->MakeWorker(other.vm).info);
+      candidate->rack = RackOf(this->GetOrAddWorker(other.vm).info);
   }
 }
 
-Worker* Scheduler::Choose(const Candidate& candidate,
-                          const TaskSlot& slot,
-                          absl::Time now,
-                          double* cost) {
-  PlacementNeed need;
-  need.service = candidate.job->queue.service;
-  need.rack = candidate.rack;
-  need.can_wait = candidate.Slots().placed > 0 ||
-                  now - candidate.Slots().ready_since < kMaxWaitForQuiet;
+Worker* Scheduler::ChooseWorker(const StepCandidate& candidate,
+                                const TaskSlot& slot,
+                                absl::Time now,
+                                double* cost) {
+  PlacementContext context;
+  context.service = candidate.active->queue.service;
+  context.rack = candidate.rack;
+  context.can_wait = candidate.Slots().placed > 0 ||
+                     now - candidate.Slots().ready_since < kMaxPlacementWait;
   Worker* best = nullptr;
   for (auto& [vm, worker] : this->workers) {
-    if (this->TicketFor(*candidate.job, candidate.occurrence, candidate.step,
+    if (this->TicketFor(*candidate.active, candidate.occurrence, candidate.step,
                         *worker, now) == nullptr)
       continue;
     const auto same = candidate.same_step.find(vm);
-    need.same_step = same == candidate.same_step.end() ? 0 : same->second;
-    need.failed_here = slot.failed_vm == vm;
-    const auto found =
-        PlacementCost(candidate.Spec(), need, *worker, this->neighbours, now);
+    context.same_step = same == candidate.same_step.end() ? 0 : same->second;
+    context.failed_here = slot.failed_vm == vm;
+    const auto found = PlacementCost(candidate.Spec(), context, *worker,
+                                     this->interference_model, now);
     if (found && (best == nullptr || *found < *cost)) {
       best = worker.get();
       *cost = *found;
@@ -228,31 +236,31 @@
   return best;
 }
 
-const std::string* Scheduler::TicketFor(const ActiveSubmission& job,
+const std::string* Scheduler::TicketFor(const ActiveSubmission& active,
                                         uint32_t occurrence,
                                         uint32_t step,
                                         const Worker& worker,
                                         absl::Time now) const {
   static const std::string none;
-  if (!job.queue.advice.required)
+  if (!active.queue.advice.required)
     return &none;
-  return this->permits.Find({job.submission.id, occurrence, step}, worker.info,
-                            now);
+  return this->permits.Find({active.submission.id, occurrence, step},
+                            worker.info, now);
 }
 
-void Scheduler::AskForPermits(const Candidate& candidate,
-                              Orders* orders,
-                              absl::Time now) {
-  PlacementNeed need;
-  need.service = candidate.job->queue.service;
+void Scheduler::QueryPermits(const StepCandidate& candidate,
+                             Orders* orders,
+                             absl::Time now) {
+  PlacementContext context;
+  context.service = candidate.active->queue.service;
   std::vector<std::pair<double, const RunnerInfo*>> usable;
   for (const auto& [vm, worker] : this->workers) {
-    const auto cost =
-        PlacementCost(candidate.Spec(), need, *worker, this->neighbours, now);
+    const auto cost = PlacementCost(candidate.Spec(), context, *worker,
+                                    this->interference_model, now);
     if (cost)
       usable.emplace_back(*cost, &worker->info);
-    else if (MayRun(candidate.Spec(), need, *worker, now))
-      // A full VM may have room later.
+    else if (IsEligible(candidate.Spec(), context, *worker, now))
+      // A full VM may have free capacity later.
       usable.emplace_back(std::numeric_limits<double>::max(), &worker->info);
   }
   std::stable_sort(
@@ -262,14 +270,14 @@
   runners.reserve(usable.size());
   for (const auto& [cost, runner] : usable)
     runners.push_back(runner);
-  auto query = this->permits.Ask(
-      {candidate.job->submission.id, candidate.occurrence, candidate.step},
+  auto query = this->permits.NextQuery(
+      {candidate.active->submission.id, candidate.occurrence, candidate.step},
       runners, now);
   if (query)
     orders->queries.push_back(std::move(*query));
 }
 
-void Scheduler::StartStep(Candidate* candidate,
+void Scheduler::StartStep(StepCandidate* candidate,
                           Orders* orders,
                           absl::Time now) {
   StepSlots& slots = candidate->Slots();
@@ -279,24 +287,25 @@
     if (!this->MayStart(slot, now))
       continue;
     double cost = 0;
-    Worker* worker = this->Choose(*candidate, slot, now, &cost);
+    Worker* worker = this->ChooseWorker(*candidate, slot, now, &cost);
     if (worker == nullptr) {
       if (candidate->Spec().long_running)
         this->Preempt(*candidate, orders, now);
       return;
     }
-    this->Order(candidate, index, worker, slot.highest_run + 1, cost, orders,
-                now);
+    this->OrderStart(candidate, index, worker, slot.highest_run + 1, cost,
+                     orders, now);
     if (candidate->Spec().single_rack && candidate->rack.empty())
       candidate->rack = RackOf(worker->info);
   }
 }
 
-void Scheduler::StartGang(Candidate* candidate,
+void Scheduler::StartGang(StepCandidate* candidate,
                           Orders* orders,
                           absl::Time now) {
   StepSlots& slots = candidate->Slots();
-  // A gang starts whole, under one run number above all that were used.
+  // All members of a gang start together, with one run number above all that
+  // were used.
   uint32_t run = 0;
   for (const TaskSlot& slot : slots.tasks) {
     if (!this->MayStart(slot, now))
@@ -308,94 +317,96 @@
   for (uint32_t index = 0; index < slots.tasks.size(); ++index) {
     double cost = 0;
     this->CountPlaced(candidate);
-    Worker* worker = this->Choose(*candidate, slots.tasks[index], now, &cost);
+    Worker* worker =
+        this->ChooseWorker(*candidate, slots.tasks[index], now, &cost);
     if (worker == nullptr)
       break;
     chosen.emplace_back(worker, cost);
     last_runs.push_back(slots.tasks[index].highest_run);
-    // Counted at once, so that the next member finds the room that is left.
-    this->Place(candidate->job, candidate->Task(index), &slots.tasks[index],
+    // Placed provisionally, so that the next member is offered the remaining
+    // capacity.
+    this->Place(candidate->active, candidate->Task(index), &slots.tasks[index],
                 worker, run, now);
   }
   for (uint32_t index = 0; index < chosen.size(); ++index) {
     const TaskRef task = candidate->Task(index);
     Vacate(chosen[index].first, task);
-    this->Release(candidate->job, task, &slots.tasks[index]);
+    this->Release(candidate->active, task, &slots.tasks[index]);
     slots.tasks[index].highest_run = last_runs[index];
   }
   if (chosen.size() < slots.tasks.size())
     return;
-  // Every member of a gang resumes from the same point.
+  // All members of a gang resume from the same checkpoint.
   const std::string checkpoint = slots.tasks.front().checkpoint;
   for (uint32_t index = 0; index < chosen.size(); ++index) {
     slots.tasks[index].checkpoint = checkpoint;
-    this->Order(candidate, index, chosen[index].first, run,
-                chosen[index].second, orders, now);
+    this->OrderStart(candidate, index, chosen[index].first, run,
+                     chosen[index].second, orders, now);
   }
 }
 
-void Scheduler::Order(Candidate* candidate,
-                      uint32_t index,
-                      Worker* worker,
-                      uint32_t run,
-                      double cost,
-                      Orders* orders,
-                      absl::Time now) {
-  ActiveSubmission* job = candidate->job;
+void Scheduler::OrderStart(StepCandidate* candidate,
+                           uint32_t index,
+                           Worker* worker,
+                           uint32_t run,
+                           double cost,
+                           Orders* orders,
+                           absl::Time now) {
+  ActiveSubmission* active = candidate->active;
   TaskSlot& slot = candidate->Slots().tasks[index];
   const TaskRef task = candidate->Task(index);
-  this->Place(job, task, &slot, worker, run, now);
-  RefreshTails(this->neighbours, now, worker);
+  this->Place(active, task, &slot, worker, run, now);
+  RefreshLatencyOutlooks(this->interference_model, now, worker);
   ++candidate->same_step[worker->vm];
-  orders->starts.push_back({worker->vm, task, run, &job->submission.text,
+  orders->starts.push_back({worker->vm, task, run, &active->submission.text,
                             &candidate->Spec(), slot.checkpoint,
-                            *this->TicketFor(*job, candidate->occurrence,
+                            *this->TicketFor(*active, candidate->occurrence,
                                              candidate->step, *worker, now),
                             candidate->Slots().ready_since, cost});
-  if (job->state == SubmissionState::kQueued) {
-    job->state = SubmissionState::kRunning;
-    this->changes.push_back({job->submission.id, job->state});
+  if (active->state == SubmissionState::kQueued) {
+    active->state = SubmissionState::kRunning;
+    this->changes.push_back({active->submission.id, active->state});
   }
 }
 
-void Scheduler::Preempt(const Candidate& candidate,
+void Scheduler::Preempt(const StepCandidate& candidate,
                         Orders* orders,
                         absl::Time now) {
   const Step& step = candidate.Spec();
-  PlacementNeed need;
-  need.service = candidate.job->queue.service;
+  PlacementContext context;
+  context.service = candidate.active->queue.service;
   Worker* best = nullptr;
   std::vector<TaskRef> best_victims;
   absl::Duration best_loss = absl::InfiniteDuration();
   for (auto& [vm, worker] : this->workers) {
-    need.same_step = 0;
+    context.same_step = 0;
     for (const TaskSlot& other : candidate.Slots().tasks)
-      need.same_step += other.phase == TaskPhase::kPlaced && other.vm == vm;
-    if (!MayRun(step, need, *worker, now) ||
-        this->TicketFor(*candidate.job, candidate.occurrence, candidate.step,
+      context.same_step += other.phase == TaskPhase::kPlaced && other.vm == vm;
+    if (!IsEligible(step, context, *worker, now) ||
+        this->TicketFor(*candidate.active, candidate.occurrence, candidate.step,
                         *worker, now) == nullptr)
       continue;
-    // One task at a time waits for the room of a worker.
+    // Capacity of a worker is reserved for one task at a time.
     if (worker->reserved_until > now)
       continue;
     std::vector<std::pair<absl::Duration, TaskRef>> losses;
     for (const auto& [task, placed] : worker->placed) {
       if (!placed.long_running && !placed.stopping)
-        losses.emplace_back(now - placed.since, task);
+        losses.emplace_back(now - placed.placed_at, task);
     }
     std::sort(losses.begin(), losses.end());
-    Size room = FreeRoom(*worker);
+    Size free_capacity = FreeCapacity(*worker);
     std::vector<TaskRef> victims;
     absl::Duration loss;
     for (const auto& [lost, task] : losses) {
-      if (Fits(step.size, room))
+      if (Fits(step.size, free_capacity))
         break;
-      const Placed& placed = worker->placed.at(task);
-      room = room + CountedSize(placed.size, placed.fills);
+      const PlacedTask& placed = worker->placed.at(task);
+      free_capacity = free_capacity + CountedSize(placed.size, placed.fills);
       loss += lost;
       victims.push_back(task);
     }
-    if (Fits(step.size, room) && loss < best_loss) {
+    if (Fits(step.size, free_capacity) && loss < best_loss) {
       best = worker.get();
       best_victims = std::move(victims);
       best_loss = loss;
@@ -404,9 +415,9 @@
   if (best == nullptr)
     return;
   best->reserved = step.size;
-  best->reserved_until = now + kReservation;
+  best->reserved_until = now + kReservationDuration;
   for (const TaskRef& task : best_victims) {
-    Placed& placed = best->placed.at(task);
+    PlacedTask& placed = best->placed.at(task);
     placed.stopping = true;
     orders->stops.push_back({best->vm, task, placed.run, "preempted"});
   }
--- a/submission/testing/scheduler_test.cc
+++ b/submission/testing/scheduler_test.cc
@@ -57,16 +57,16 @@
  protected:
   SchedulerTest() { this->scheduler.SetPolicy(MakePolicy()); }
 
-  void Add(const Submission& submission, Certainty certainty = {}) {
-    this->scheduler.Add(submission, std::nullopt, certainty, this->now,
+  void Add(const Submission& submission, PriorRuns prior_runs = {}) {
+    this->scheduler.Add(submission, std::nullopt, prior_runs, this->now,
                         this->now);
   }
 
   Orders Plan() { return this->scheduler.Plan(this->now); }
 
-  void End(const StartOrder& start, EndKind kind, uint64_t number = 1) {
-    this->scheduler.OnEnded(start.vm, {number, start.task, start.run, kind, ""},
-                            this->now);
+  void End(const StartOrder& start, RunOutcome outcome, uint64_t number = 1) {
+    this->scheduler.OnEnded(
+        start.vm, {number, start.task, start.run, outcome, ""}, this->now);
   }
 
   SubmissionState State(const std::string& id) {
@@ -84,19 +84,19 @@
 TEST_F(SchedulerTest, RunsStepsInOrderAndCompletesOnceStored) {
   Step second = MakeStep(1, 500);
   second.after = {0};
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(2, 500), second}));
   const Orders first = this->Plan();
   ASSERT_EQ(first.starts.size(), 2u);
   EXPECT_EQ(first.starts[0].run, 1u);
-  this->End(first.starts[0], EndKind::kDone, 1);
+  this->End(first.starts[0], RunOutcome::kDone, 1);
   EXPECT_TRUE(this->Plan().starts.empty());
-  this->End(first.starts[1], EndKind::kDone, 2);
+  this->End(first.starts[1], RunOutcome::kDone, 2);
   const Orders next = this->Plan();
   ASSERT_EQ(next.starts.size(), 1u);
   EXPECT_EQ(next.starts[0].task.step, 1u);
-  this->End(next.starts[0], EndKind::kDone, 3);
-  // Shown only when the store has it.
+  this->End(next.starts[0], RunOutcome::kDone, 3);
+  // The state is visible to callers only once it is stored.
   EXPECT_EQ(this->State(kId), SubmissionState::kRunning);
   const auto dirty = this->scheduler.TakeDirty();
   ASSERT_EQ(dirty.size(), 1u);
@@ -105,9 +105,8 @@
   EXPECT_EQ(this->State(kId), SubmissionState::kCompleted);
 }
 
-// Guards against placing more on a VM than its runner has.
-// Guards against submissions that are removed too early, twice, or never; and
-// against an ended one that a planner runs again.
+// Guards against removing ended submissions too early, twice, or never, and
+// against running one again that ended under an earlier planner.
 TEST_F(SchedulerTest, EndedSubmissionsAreRemovedInTheOrderOfTheirEnds) {
   const std::string earlier = "00000000000000e1";
   this->scheduler.AddEnded(earlier, "plans", SubmissionState::kFailed,
@@ -116,13 +115,13 @@
   this->Add(MakeSubmission(earlier, {MakeStep(1, 500)}));
   this->Add(MakeSubmission(kId, {MakeStep(1, 500)}));
   this->scheduler.Cancel(kId);
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   EXPECT_TRUE(this->Plan().starts.empty());
-  // Its end is not stored yet.
+  // The end of this submission is not stored yet.
   EXPECT_TRUE(
       this->scheduler.TakeEndedBefore(this->now - absl::Seconds(5), 9).empty());
   const SubmissionRow row = this->scheduler.EndedRow(kId, this->now);
-  EXPECT_EQ(row.end, SubmissionState::kCancelled);
+  EXPECT_EQ(row.final_state, SubmissionState::kCancelled);
   EXPECT_TRUE(row.submission.steps.empty());
   this->scheduler.MarkStored(kId, SubmissionState::kCancelled, this->now);
   this->scheduler.MarkStored(kId, SubmissionState::kCancelled,
@@ -133,22 +132,22 @@
   EXPECT_EQ(this->scheduler.TakeEndedBefore(later, 9),
             std::vector<std::string>{kId});
   EXPECT_TRUE(this->scheduler.TakeEndedBefore(later, 9).empty());
-  EXPECT_TRUE(this->scheduler.Knows(kId));
+  EXPECT_TRUE(this->scheduler.HasSubmission(kId));
   this->scheduler.Forget(kId);
-  EXPECT_FALSE(this->scheduler.Knows(kId));
+  EXPECT_FALSE(this->scheduler.HasSubmission(kId));
 }
 
 // Guards against a count of waiting submissions that leaves out those whose
 // start never reached a runner. Seen on the day runners-gone, seed 6922054803:
 // MIXED 7.
 TEST_F(SchedulerTest, ASubmissionWaitsUntilARunnerHasStartedATask) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(1, 500)}));
   ASSERT_EQ(this->Plan().starts.size(), 1u);
   EXPECT_EQ(this->scheduler.WaitingCounts()["plans"], 1u);
   WorkerReport report = MakeReport("vm-1");
   report.running.push_back({{kId, 0, 0, 0}, 1, "", 0, /*starting=*/true});
-  this->scheduler.Sync(report, this->now);
+  this->scheduler.MergeReport(report, this->now);
   EXPECT_EQ(this->scheduler.WaitingCounts()["plans"], 1u);
   this->scheduler.OnStarted(kId);
   EXPECT_EQ(this->scheduler.WaitingCounts()["plans"], 0u);
@@ -157,100 +156,102 @@
   this->Add(MakeSubmission(second, {MakeStep(1, 500)}));
   ASSERT_EQ(this->Plan().starts.size(), 1u);
   report.running.push_back({{second, 0, 0, 0}, 1, "", 0});
-  this->scheduler.Sync(report, this->now);
+  this->scheduler.MergeReport(report, this->now);
   EXPECT_EQ(this->scheduler.WaitingCounts()["plans"], 0u);
 }
 
-TEST_F(SchedulerTest, NeverExceedsTheRoomOfAVm) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+// Guards against placing more on a VM than the capacity that its runner
+// reports.
+TEST_F(SchedulerTest, NeverExceedsTheCapacityOfAVm) {
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(9, 1000)}));
   const Orders orders = this->Plan();
   EXPECT_EQ(orders.starts.size(), 4u);
-  this->End(orders.starts[0], EndKind::kDone);
+  this->End(orders.starts[0], RunOutcome::kDone);
   EXPECT_EQ(this->Plan().starts.size(), 1u);
 }
 
 // Guards against a second run of a task that an earlier planner started on a
-// worker that has not been heard.
-TEST_F(SchedulerTest, UncertainTasksWaitForEveryWorkerOfAnEarlierPlanner) {
+// worker that has not reported yet.
+TEST_F(SchedulerTest, UnresolvedTasksWaitForEveryWorkerOfAnEarlierPlanner) {
   this->scheduler.ExpectWorker("vm-1", this->now + absl::Seconds(20));
   this->scheduler.ExpectWorker("vm-2", this->now + absl::Seconds(20));
-  this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}), UncertainSince(2));
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}), UnresolvedRunsBefore(2));
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   EXPECT_TRUE(this->Plan().starts.empty());
-  // A submission that no other planner can know goes ahead.
+  // A submission that no other planner can have started does not wait.
   this->Add(MakeSubmission("00000000000000b2", {MakeStep(1, 1000)}));
   EXPECT_EQ(this->Plan().starts.size(), 1u);
   this->now += absl::Seconds(19);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   EXPECT_TRUE(this->Plan().starts.empty());
   this->now += absl::Seconds(2);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   const Orders orders = this->Plan();
   ASSERT_EQ(orders.starts.size(), 1u);
-  // Above all numbers that the earlier planner can have used.
+  // The run number is above all that the earlier planner can have used.
   EXPECT_GT(orders.starts[0].run, 1u);
 }
 
 TEST_F(SchedulerTest, AdoptsRunsThatAWorkerReports) {
   this->scheduler.ExpectWorker("vm-1", this->now + absl::Seconds(20));
-  this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}), UncertainSince(2));
+  this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}), UnresolvedRunsBefore(2));
   WorkerReport report = MakeReport("vm-1");
   report.running.push_back({{kId, 0, 0, 0}, 3, "", 50});
-  this->scheduler.Sync(report, this->now);
+  this->scheduler.MergeReport(report, this->now);
   EXPECT_TRUE(this->Plan().starts.empty());
-  this->scheduler.OnEnded("vm-1", {1, {kId, 0, 0, 0}, 3, EndKind::kDone, ""},
+  this->scheduler.OnEnded("vm-1", {1, {kId, 0, 0, 0}, 3, RunOutcome::kDone, ""},
                           this->now);
   const auto dirty = this->scheduler.TakeDirty();
   ASSERT_EQ(dirty.size(), 1u);
   EXPECT_EQ(dirty[0].second.state, SubmissionState::kCompleted);
 }
 
-// Guards against stopping, or losing the end of, a run whose submission was
-// stored after the planner read the table: seen on lakeshore-pack trouble-3 as
-// two runs of one task at a time.
-TEST_F(SchedulerTest, TellsRunsAndEndsOfUnknownSubmissions) {
+// Guards against stopping a run, or losing its end, when its submission was
+// stored after the planner read the table. Seen on lakeshore-pack trouble-3 as
+// two concurrent runs of one task.
+TEST_F(SchedulerTest, DetectsRunsAndEndsOfUnknownSubmissions) {
   const std::vector<ActiveRun> running = {{{kId, 0, 0, 0}, 1, "", 0}};
   const std::vector<EndedRun> ended = {
-      {1, {kId, 0, 0, 1}, 1, EndKind::kDone, ""}};
-  EXPECT_FALSE(this->scheduler.KnowsAll(running, {}));
-  EXPECT_FALSE(this->scheduler.KnowsAll({}, ended));
-  this->Add(MakeSubmission(kId, {MakeStep(2, 1000)}), UncertainSince(2));
-  EXPECT_TRUE(this->scheduler.KnowsAll(running, ended));
+      {1, {kId, 0, 0, 1}, 1, RunOutcome::kDone, ""}};
+  EXPECT_FALSE(this->scheduler.HasSubmissionsOf(running, {}));
+  EXPECT_FALSE(this->scheduler.HasSubmissionsOf({}, ended));
+  this->Add(MakeSubmission(kId, {MakeStep(2, 1000)}), UnresolvedRunsBefore(2));
+  EXPECT_TRUE(this->scheduler.HasSubmissionsOf(running, ended));
 }
 
-// Guards against a restart while a VM that is cut off may still run the task.
-TEST_F(SchedulerTest, SilentWorkerKeepsItsTasksUntilItsAuthorityEnds) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+// Guards against a second run while a disconnected VM may still run the task.
+TEST_F(SchedulerTest, DisconnectedWorkerKeepsItsTasksUntilItsGrantExpires) {
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}));
   ASSERT_EQ(this->Plan().starts.size(), 1u);
-  this->scheduler.ExtendAuthority("vm-1", this->now + absl::Seconds(6));
-  this->scheduler.Disconnected("vm-1");
-  this->scheduler.Sync(MakeReport("vm-2"), this->now);
+  this->scheduler.ExtendGrant("vm-1", this->now + absl::Seconds(6));
+  this->scheduler.OnDisconnected("vm-1");
+  this->scheduler.MergeReport(MakeReport("vm-2"), this->now);
   this->now += absl::Seconds(5);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   EXPECT_TRUE(this->Plan().starts.empty());
   this->now += absl::Seconds(2);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   const Orders orders = this->Plan();
   ASSERT_EQ(orders.starts.size(), 1u);
   EXPECT_EQ(orders.starts[0].vm, "vm-2");
   EXPECT_EQ(orders.starts[0].run, 2u);
 }
 
-// Guards against taking back an old run: a VM whose authority had ended came
-// back with a list from before, its run was adopted, and the next run got a
-// number that was in use. Seen on vardu-klasteris-grown trouble-2 as two runs 2
-// of one task at a time.
-TEST_F(SchedulerTest, AnOldRunIsStoppedAndItsNumberIsNotUsedAgain) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+// Guards against adopting a stale run. A VM whose grant had expired reconnected
+// with an old report; its run was adopted, and the next run got a number that
+// was in use. Seen on vardu-klasteris-grown trouble-2 as two concurrent runs of
+// one task, both with number 2.
+TEST_F(SchedulerTest, AStaleRunIsStoppedAndItsNumberIsNotUsedAgain) {
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}));
   ASSERT_EQ(this->Plan().starts.size(), 1u);
-  this->scheduler.ExtendAuthority("vm-1", this->now + absl::Seconds(6));
-  this->scheduler.Disconnected("vm-1");
-  this->scheduler.Sync(MakeReport("vm-2"), this->now);
+  this->scheduler.ExtendGrant("vm-1", this->now + absl::Seconds(6));
+  this->scheduler.OnDisconnected("vm-1");
+  this->scheduler.MergeReport(MakeReport("vm-2"), this->now);
   this->now += absl::Seconds(7);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   const Orders second = this->Plan();
   ASSERT_EQ(second.starts.size(), 1u);
   ASSERT_EQ(second.starts[0].run, 2u);
@@ -258,7 +259,7 @@
                                 StartOutcome::kRefused, this->now);
   WorkerReport stale = MakeReport("vm-1");
   stale.running.push_back({{kId, 0, 0, 0}, 1, "", 10});
-  this->scheduler.Sync(stale, this->now);
+  this->scheduler.MergeReport(stale, this->now);
   const Orders third = this->Plan();
   ASSERT_EQ(third.stops.size(), 1u);
   EXPECT_EQ(third.stops[0].run, 1u);
@@ -266,49 +267,49 @@
     EXPECT_EQ(start.run, 3u);
 }
 
-TEST_F(SchedulerTest, NewLifeOfARunnerEndsItsTasks) {
-  this->scheduler.Sync(MakeReport("vm-1", 1), this->now);
+TEST_F(SchedulerTest, NewIncarnationOfARunnerEndsItsTasks) {
+  this->scheduler.MergeReport(MakeReport("vm-1", 1), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}));
   ASSERT_EQ(this->Plan().starts.size(), 1u);
-  this->scheduler.Sync(MakeReport("vm-1", 2), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1", 2), this->now);
   const Orders orders = this->Plan();
   ASSERT_EQ(orders.starts.size(), 1u);
   EXPECT_EQ(orders.starts[0].run, 2u);
 }
 
-// Guards against counting one failure twice when two planners are told of it.
+// Guards against counting a failure twice when it is reported to two planners.
 TEST_F(SchedulerTest, FailsAfterTheLimitOfDifferentRuns) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
-  this->scheduler.Sync(MakeReport("vm-2"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-2"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}));
   const Orders first = this->Plan();
   ASSERT_EQ(first.starts.size(), 1u);
-  this->End(first.starts[0], EndKind::kFailed);
-  this->End(first.starts[0], EndKind::kFailed);
+  this->End(first.starts[0], RunOutcome::kFailed);
+  this->End(first.starts[0], RunOutcome::kFailed);
   const Orders second = this->Plan();
   ASSERT_EQ(second.starts.size(), 1u);
   EXPECT_NE(second.starts[0].vm, first.starts[0].vm);
   EXPECT_EQ(second.starts[0].run, 2u);
   this->scheduler.TakeDirty();
-  this->End(second.starts[0], EndKind::kFailed);
+  this->End(second.starts[0], RunOutcome::kFailed);
   const auto dirty = this->scheduler.TakeDirty();
   ASSERT_EQ(dirty.size(), 1u);
   EXPECT_EQ(dirty[0].second.state, SubmissionState::kFailed);
   EXPECT_TRUE(this->Plan().starts.empty());
 }
 
-// Guards against one run number for two runs: each of two planners started a
-// task without a record, both runs failed and were counted as one. Seen on
-// lakeshore-pack trouble-3 as a third attempt of two.
+// Guards against two runs with the same number. Each of two planners started a
+// task without a stored record of it; both runs failed and were counted as one.
+// Seen on lakeshore-pack trouble-3 as a third attempt of two.
 TEST_F(SchedulerTest, PlannersNeverShareRunNumbers) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   std::vector<uint32_t> runs;
   for (uint64_t epoch = 2; epoch < 5; ++epoch) {
     Scheduler planner;
     planner.SetPolicy(MakePolicy());
-    planner.Sync(MakeReport("vm-1"), this->now);
+    planner.MergeReport(MakeReport("vm-1"), this->now);
     planner.Add(MakeSubmission(kId, {MakeStep(1, 1000)}), std::nullopt,
-                UncertainSince(epoch), this->now, this->now);
+                UnresolvedRunsBefore(epoch), this->now, this->now);
     const Orders orders = planner.Plan(this->now);
     ASSERT_EQ(orders.starts.size(), 1u);
     runs.push_back(orders.starts[0].run);
@@ -321,7 +322,7 @@
 // against serving them in the order of their arrival, which makes all of them
 // late.
 TEST_F(SchedulerTest, SmallerSubmissionsOfABurstGoFirst) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   Submission large = MakeSubmission(kId, {MakeStep(8, 1000)});
   Submission small = MakeSubmission("00000000000000b2", {MakeStep(4, 1000)});
   large.accepted_ms = absl::ToUnixMillis(this->now);
@@ -334,10 +335,10 @@
     EXPECT_EQ(start.task.submission, small.id);
 }
 
-// Guards against hopeless submissions that hold up those which can still meet
-// their objective, and against losing them altogether.
+// Guards against hopeless submissions that delay those which can still meet
+// their objective, and against dropping them.
 TEST_F(SchedulerTest, HopelessSubmissionsGoLastButAreNotDropped) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   Submission hopeless = MakeSubmission(kId, {MakeStep(4, 1000)});
   hopeless.accepted_ms = absl::ToUnixMillis(this->now - absl::Seconds(60));
   Submission punctual = MakeSubmission("00000000000000b2", {MakeStep(4, 1000)});
@@ -349,13 +350,13 @@
   uint64_t number = 0;
   for (const StartOrder& start : first.starts) {
     EXPECT_EQ(start.task.submission, punctual.id);
-    this->End(start, EndKind::kDone, ++number);
+    this->End(start, RunOutcome::kDone, ++number);
   }
   EXPECT_EQ(this->Plan().starts.size(), 4u);
 }
 
-TEST_F(SchedulerTest, CancelStopsWhatRunsAndStartsNothing) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+TEST_F(SchedulerTest, CancelStopsRunsAndStartsNothing) {
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(9, 1000)}));
   ASSERT_EQ(this->Plan().starts.size(), 4u);
   this->scheduler.Cancel(kId);
@@ -364,9 +365,9 @@
   EXPECT_EQ(orders.stops.size(), 4u);
 }
 
-// Guards against a cancellation that is read before its submission.
-TEST_F(SchedulerTest, CancellationAheadOfItsSubmissionHolds) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+// Guards against losing a cancellation that is read before its submission.
+TEST_F(SchedulerTest, CancellationBeforeItsSubmissionIsApplied) {
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->scheduler.Cancel(kId);
   this->Add(MakeSubmission(kId, {MakeStep(1, 1000)}));
   EXPECT_TRUE(this->Plan().starts.empty());
@@ -375,12 +376,12 @@
 TEST_F(SchedulerTest, ResumesFromTheCheckpointOfAStoppedRun) {
   Step step = MakeStep(1, 1000);
   step.checkpointed = true;
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {step}));
   const Orders first = this->Plan();
   ASSERT_EQ(first.starts.size(), 1u);
   this->scheduler.OnEnded(
-      "vm-1", {1, first.starts[0].task, 1, EndKind::kStopped, "point"},
+      "vm-1", {1, first.starts[0].task, 1, RunOutcome::kStopped, "point"},
       this->now);
   const Orders second = this->Plan();
   ASSERT_EQ(second.starts.size(), 1u);
@@ -388,14 +389,14 @@
   EXPECT_EQ(second.starts[0].run, 2u);
 }
 
-// Guards against forgetting what is done, or the failures, at a takeover.
+// Guards against losing completed tasks or failed runs at a takeover.
 TEST_F(SchedulerTest, ProgressSurvivesATakeover) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(3, 1000)}));
   const Orders first = this->Plan();
   ASSERT_EQ(first.starts.size(), 3u);
-  this->End(first.starts[0], EndKind::kDone, 1);
-  this->End(first.starts[1], EndKind::kFailed, 2);
+  this->End(first.starts[0], RunOutcome::kDone, 1);
+  this->End(first.starts[1], RunOutcome::kFailed, 2);
   const auto dirty = this->scheduler.TakeDirty();
   ASSERT_EQ(dirty.size(), 1u);
   const auto stored = Decode<Progress>(Encode(dirty[0].second));
@@ -404,15 +405,15 @@
   Scheduler next;
   next.SetPolicy(MakePolicy());
   next.Add(MakeSubmission(kId, {MakeStep(3, 1000)}), stored.value(),
-           UncertainSince(2), this->now, this->now);
-  next.Sync(MakeReport("vm-1"), this->now);
+           UnresolvedRunsBefore(2), this->now, this->now);
+  next.MergeReport(MakeReport("vm-1"), this->now);
   const Orders orders = next.Plan(this->now);
   EXPECT_EQ(orders.starts.size(), 2u);
   for (const StartOrder& start : orders.starts) {
     EXPECT_NE(start.task, first.starts[0].task);
-    // The second failure of this task is its last.
+    // The second failure of this task reaches the limit.
     if (start.task == first.starts[1].task)
-      next.OnEnded("vm-1", {3, start.task, start.run, EndKind::kFailed, ""},
+      next.OnEnded("vm-1", {3, start.task, start.run, RunOutcome::kFailed, ""},
                    this->now);
   }
   const auto after = next.TakeDirty();
@@ -420,15 +421,15 @@
   EXPECT_EQ(after[0].second.state, SubmissionState::kFailed);
 }
 
-TEST_F(SchedulerTest, KeepsToTheLimitPerVmAndTheLabel) {
+TEST_F(SchedulerTest, RespectsTheLimitPerVmAndTheLabel) {
   Step step = MakeStep(4, 100);
   step.max_per_vm = 1;
   step.required_label = "a";
   WorkerReport other = MakeReport("vm-3");
   other.info.labels = {"b", "rack-1"};
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
-  this->scheduler.Sync(MakeReport("vm-2"), this->now);
-  this->scheduler.Sync(other, this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-2"), this->now);
+  this->scheduler.MergeReport(other, this->now);
   this->Add(MakeSubmission(kId, {step}));
   const Orders orders = this->Plan();
   ASSERT_EQ(orders.starts.size(), 2u);
@@ -438,31 +439,31 @@
 TEST_F(SchedulerTest, NothingStartsOnADrainingRunner) {
   WorkerReport report = MakeReport("vm-1");
   report.info.draining = true;
-  this->scheduler.Sync(report, this->now);
+  this->scheduler.MergeReport(report, this->now);
   this->Add(MakeSubmission(kId, {MakeStep(1, 100)}));
   EXPECT_TRUE(this->Plan().starts.empty());
 }
 
-// Guards against leaving lasting tasks on a runner until it is gone, which the
-// users' rules count as work that was lost: seen on lakeshore-pack mix
+// Guards against leaving long-running tasks on a draining runner until it is
+// gone, which the users' rules count as lost work. Seen on lakeshore-pack mix
 // 217262503272.
-TEST_F(SchedulerTest, LastingAndCheckpointedTasksLeaveADrainingRunner) {
-  Step lasting = MakeStep(1, 500);
-  lasting.long_running = true;
+TEST_F(SchedulerTest, LongRunningAndCheckpointedTasksLeaveADrainingRunner) {
+  Step long_step = MakeStep(1, 500);
+  long_step.long_running = true;
   Step checkpointed = MakeStep(1, 500);
   checkpointed.checkpointed = true;
   checkpointed.estimate_ms = 5000;
   Step plain = MakeStep(1, 500);
   plain.estimate_ms = 5000;
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
-  this->Add(MakeSubmission(kId, {lasting}));
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
+  this->Add(MakeSubmission(kId, {long_step}));
   this->Add(MakeSubmission("00000000000000b2", {checkpointed}));
   this->Add(MakeSubmission("00000000000000c3", {plain}));
   ASSERT_EQ(this->Plan().starts.size(), 3u);
   RunnerInfo info = MakeReport("vm-1").info;
   info.draining = true;
   this->scheduler.UpdateInfo("vm-1", info, true);
-  this->scheduler.Sync(MakeReport("vm-2"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-2"), this->now);
   const Orders stops = this->Plan();
   ASSERT_EQ(stops.stops.size(), 2u);
   for (const StopOrder& stop : stops.stops) {
@@ -475,16 +476,16 @@
 TEST_F(SchedulerTest, GangStartsWholeOrNotAtAll) {
   Step step = MakeStep(5, 1000);
   step.gang = true;
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {step}));
   EXPECT_TRUE(this->Plan().starts.empty());
-  this->scheduler.Sync(MakeReport("vm-2"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-2"), this->now);
   const Orders orders = this->Plan();
   ASSERT_EQ(orders.starts.size(), 5u);
   for (const StartOrder& start : orders.starts)
     EXPECT_EQ(start.run, 1u);
-  // One end stands for all members.
-  this->End(orders.starts[2], EndKind::kDone);
+  // The end of one member completes all members.
+  this->End(orders.starts[2], RunOutcome::kDone);
   const auto dirty = this->scheduler.TakeDirty();
   ASSERT_EQ(dirty.size(), 1u);
   EXPECT_EQ(dirty[0].second.state, SubmissionState::kCompleted);
@@ -496,13 +497,13 @@
   submission.occurrences = 2;
   submission.first_due_ms = absl::ToUnixMillis(this->now) + 1000;
   submission.interval_ms = 5000;
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(submission);
   EXPECT_TRUE(this->Plan().starts.empty());
   this->now += absl::Milliseconds(1001);
   const Orders first = this->Plan();
   ASSERT_EQ(first.starts.size(), 1u);
-  this->End(first.starts[0], EndKind::kDone);
+  this->End(first.starts[0], RunOutcome::kDone);
   EXPECT_TRUE(this->Plan().starts.empty());
   this->now += absl::Seconds(5);
   const Orders second = this->Plan();
@@ -510,32 +511,32 @@
   EXPECT_EQ(second.starts[0].task.occurrence, 1u);
 }
 
-// Guards against a task that lasts and waits behind batch work.
-TEST_F(SchedulerTest, TaskThatLastsPreemptsBatchWork) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+// Guards against a long-running task that waits behind batch work.
+TEST_F(SchedulerTest, LongRunningTaskPreemptsBatchWork) {
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(4, 1000)}));
   const Orders batch = this->Plan();
   ASSERT_EQ(batch.starts.size(), 4u);
-  Step lasting = MakeStep(1, 1500);
-  lasting.long_running = true;
-  this->Add(MakeSubmission("00000000000000b2", {lasting}));
+  Step long_step = MakeStep(1, 1500);
+  long_step.long_running = true;
+  this->Add(MakeSubmission("00000000000000b2", {long_step}));
   const Orders stops = this->Plan();
   ASSERT_EQ(stops.stops.size(), 2u);
   this->Add(MakeSubmission("00000000000000c3", {MakeStep(1, 500)}));
   uint64_t number = 0;
   for (const StopOrder& stop : stops.stops)
     this->scheduler.OnEnded(
-        stop.vm, {++number, stop.task, stop.run, EndKind::kStopped, ""},
+        stop.vm, {++number, stop.task, stop.run, RunOutcome::kStopped, ""},
         this->now);
   const Orders starts = this->Plan();
   ASSERT_FALSE(starts.starts.empty());
   EXPECT_EQ(starts.starts[0].task.submission, "00000000000000b2");
 }
 
-// Guards against work that is stopped for a task which may not run on that VM:
-// the permit for a step of a restricted queue is not there yet, or is denied.
+// Guards against preempting tasks for a task that may not run on that VM: its
+// step's permit for the VM is pending or denied.
 TEST_F(SchedulerTest, NothingIsPreemptedWhereATaskHasNoPermit) {
-  this->scheduler.Sync(MakeReport("vm-1"), this->now);
+  this->scheduler.MergeReport(MakeReport("vm-1"), this->now);
   this->Add(MakeSubmission(kId, {MakeStep(4, 1000)}));
   ASSERT_EQ(this->Plan().starts.size(), 4u);
   FleetPolicy policy = MakePolicy();
@@ -545,9 +546,9 @@
   restricted.advice.required = true;
   policy.queues.push_back(restricted);
   this->scheduler.SetPolicy(policy);
-  Step lasting = MakeStep(1, 1500);
-  lasting.long_running = true;
-  Submission submission = MakeSubmission("00000000000000b2", {lasting});
+  Step long_step = MakeStep(1, 1500);
+  long_step.long_running = true;
+  Submission submission = MakeSubmission("00000000000000b2", {long_step});
   submission.queue = restricted.name;
   this->Add(submission);
   const Orders asked = this->Plan();
@@ -558,19 +559,19 @@
   EXPECT_TRUE(this->Plan().stops.empty());
 }
 
-// Guards against tasks that wait 12 s for a VM that is gone after a takeover
-// (vardu-klasteris mix 935163144596), and against forgetting what this planner
-// has granted itself.
-TEST_F(SchedulerTest, AShorterBoundOfEarlierGrantsIsTaken) {
+// Guards against tasks that wait 12 s after a takeover for a VM that is gone
+// (vardu-klasteris mix 935163144596), and against lowering the deadline of this
+// planner's own grants.
+TEST_F(SchedulerTest, AShorterDeadlineOfInheritedGrantsIsApplied) {
   this->scheduler.ExpectWorker("vm-1", this->now + absl::Seconds(12));
   this->scheduler.ExpectWorker("vm-2", this->now + absl::Seconds(12));
-  this->scheduler.ExtendAuthority("vm-2", this->now + absl::Seconds(9));
-  this->scheduler.LimitInherited(this->now + absl::Seconds(7));
+  this->scheduler.ExtendGrant("vm-2", this->now + absl::Seconds(9));
+  this->scheduler.LimitInheritedGrants(this->now + absl::Seconds(7));
   this->now += absl::Seconds(8);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   EXPECT_EQ(this->scheduler.UnresolvedCount(), 1u);
   this->now += absl::Seconds(2);
-  this->scheduler.Expire(this->now);
+  this->scheduler.ExpireGrants(this->now);
   EXPECT_EQ(this->scheduler.UnresolvedCount(), 0u);
 }
 
--- a/submission/types.cc
+++ b/submission/types.cc
@@ -18,19 +18,19 @@
   return "unknown";
 }
 
-std::string_view ToString(EndKind kind) {
-  switch (kind) {
-    case EndKind::kDone:
+std::string_view ToString(RunOutcome outcome) {
+  switch (outcome) {
+    case RunOutcome::kDone:
       return "done";
-    case EndKind::kFailed:
+    case RunOutcome::kFailed:
       return "failed";
-    case EndKind::kStopped:
+    case RunOutcome::kStopped:
       return "stopped";
-    case EndKind::kLapsed:
+    case RunOutcome::kLeaseExpired:
       return "lapsed";
-    case EndKind::kGangBroken:
+    case RunOutcome::kGangBroken:
       return "gang-broken";
-    case EndKind::kGangIncomplete:
+    case RunOutcome::kGangIncomplete:
       return "gang-incomplete";
   }
   return "unknown";
--- a/submission/types.h
+++ b/submission/types.h
@@ -1,12 +1,12 @@
 #ifndef SUBMISSION_TYPES_H_
 #define SUBMISSION_TYPES_H_
 
-// Submissions: work that callers hand in at run time.
+// Submissions: work that callers submit at run time.
 //
-// A submission goes to a queue and has steps; a step has tasks, and may wait
-// for earlier steps. A scheduled submission runs its steps several times; each
-// time is an occurrence. A task is started as numbered runs, of which at most
-// one exists at a time.
+// A submission goes to a queue and consists of steps. A step has tasks and may
+// depend on earlier steps. A scheduled submission runs its steps several times;
+// each time is an occurrence. A task is started as numbered runs, of which at
+// most one exists at a time.
 //
 //   TaskRef task{"5c0e7a21d94b36f8", 0, 1, 17};
 
@@ -21,18 +21,18 @@
 
 namespace cuminjunction {
 
-// One step of a submission: `count` tasks that are alike.
+// One step of a submission: `count` identical tasks.
 struct Step {
   uint32_t count = 0;
-  // What each task needs.
+  // Resources of each task.
   Size size;
   // The caller's rough estimate of a task's run time, in milliseconds.
   int64_t estimate_ms = 0;
-  // Earlier steps whose tasks must all be done first.
+  // Indexes of earlier steps whose tasks must all be done first.
   std::vector<uint32_t> after;
-  // Tasks save their progress and resume from it.
+  // The tasks save checkpoints and resume from them.
   bool checkpointed = false;
-  // The tasks work only together and end together.
+  // The tasks form a gang: they run only together and end together.
   bool gang = false;
   // The tasks are slower when they run on more than one rack.
   bool single_rack = false;
@@ -40,22 +40,24 @@
   bool speculative = false;
   // The tasks run until the submission is cancelled.
   bool long_running = false;
-  // The tasks use the capacity that others leave: their processors don't count
-  // against the capacity of a VM.
+  // Filling tasks: they use processors that others leave idle, which do not
+  // count against the capacity of a VM.
   bool fills = false;
-  // A label that the VM must have; empty without.
+  // A label that the VM must have; empty for none.
   std::string required_label;
-  // The rack that holds the data; empty without.
+  // The rack that holds the data; empty for none.
   std::string data_rack;
-  // Tasks of the same image behave alike.
+  // Image of the tasks. Tasks of the same image have the same load and
+  // interference.
   std::string image;
-  // The most tasks of the step on one VM; 0 without a limit.
+  // Maximum number of the step's tasks on one VM; 0 for no limit.
   uint32_t max_per_vm = 0;
-  // The limit for the tail of the tasks' response times, in milliseconds; 0
-  // for tasks that serve nobody.
+  // Limit for the tail latency of the tasks' responses, in milliseconds; 0 for
+  // tasks that do not serve requests.
   int64_t latency_objective_ms = 0;
-  // How many tasks may be away at a time because of the system's actions.
-  uint32_t may_miss = 0;
+  // Maximum number of tasks that the system's actions may make unavailable at
+  // the same time.
+  uint32_t max_unavailable = 0;
 
   bool operator==(const Step&) const = default;
 
@@ -65,25 +67,26 @@
             this->checkpointed, this->gang, this->single_rack,
             this->speculative, this->long_running, this->fills,
             this->required_label, this->data_rack, this->image,
-            this->max_per_vm, this->latency_objective_ms, this->may_miss);
+            this->max_per_vm, this->latency_objective_ms,
+            this->max_unavailable);
   }
 };
 
 struct Submission {
   std::string id;
-  // Name of the queue that took it.
+  // Name of the queue that accepted it.
   std::string queue;
-  // What the runners get with each task.
+  // Text that is sent to the runner with each task.
   std::string text;
   std::vector<Step> steps;
-  // How many times the steps run; 1 without a schedule.
+  // Number of times the steps run; 1 without a schedule.
   uint32_t occurrences = 1;
   bool scheduled = false;
   // Time of the first occurrence and time between occurrences, in milliseconds
   // of the system clock.
   int64_t first_due_ms = 0;
   int64_t interval_ms = 0;
-  // When an entry accepted it, in milliseconds of that entry's system clock.
+  // Time of acceptance, in milliseconds of the accepting entry's system clock.
   int64_t accepted_ms = 0;
 
   bool operator==(const Submission&) const = default;
@@ -96,7 +99,7 @@
   }
 };
 
-// Names one task.
+// Identifies one task.
 struct TaskRef {
   std::string submission;
   uint32_t occurrence = 0;
@@ -121,7 +124,7 @@
   kCancelled,
 };
 
-// True for states that no event ends.
+// True for states that never change again.
 inline bool IsFinal(SubmissionState state) {
   return state >= SubmissionState::kCompleted;
 }
@@ -129,31 +132,32 @@
 // Name of the state in logs and on the administration API.
 std::string_view ToString(SubmissionState state);
 
-// How a run ended.
-enum class EndKind : uint8_t {
+// Outcome of a run.
+enum class RunOutcome : uint8_t {
   kDone,
-  // Through its own fault or the runner's.
+  // The task or its runner failed.
   kFailed,
-  // By an order.
+  // Stopped by an order of the planner.
   kStopped,
-  // The runner's lease ran out.
-  kLapsed,
+  // The runner's lease expired.
+  kLeaseExpired,
   // Another member of its gang ended.
   kGangBroken,
   // It waited too long for the other members of its gang.
   kGangIncomplete,
 };
 
-std::string_view ToString(EndKind kind);
+std::string_view ToString(RunOutcome outcome);
 
-// A run that a runner holds.
+// A run that exists on a runner.
 struct ActiveRun {
   TaskRef task;
   uint32_t run = 0;
   std::string checkpoint;
-  // Progress, or whether a task that lasts is at work, from 0 to 100.
+  // From 0 to 100: the progress of a task, or for a long-running one whether it
+  // is working.
   int32_t percent = 0;
-  // The runner has not confirmed the start.
+  // The runner has not confirmed the start yet.
   bool starting = false;
 
   bool operator==(const ActiveRun&) const = default;
@@ -165,35 +169,36 @@
   }
 };
 
-// A run that has ended, until its end is confirmed to the runner.
+// A run that has ended. It is reported until the receipt is confirmed to the
+// runner.
 struct EndedRun {
-  // Counts the ends of one life of the runner, from 1.
+  // Sequence number of the end within one incarnation of the runner, from 1.
   uint64_t number = 0;
   TaskRef task;
   uint32_t run = 0;
-  EndKind kind = EndKind::kLapsed;
+  RunOutcome outcome = RunOutcome::kLeaseExpired;
   std::string checkpoint;
 
   bool operator==(const EndedRun&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    auto raw = static_cast<uint8_t>(this->kind);
+    auto raw = static_cast<uint8_t>(this->outcome);
     archive(this->number, this->task, this->run, raw, this->checkpoint);
-    this->kind = static_cast<EndKind>(raw);
+    this->outcome = static_cast<RunOutcome>(raw);
   }
 };
 
-// What a runner says about itself.
+// Self-description of a runner.
 struct RunnerInfo {
-  // Name of the runner and the time of its start, which together name one
-  // life. `born_ms` is 0 until the runner has been heard.
+  // Name and start time of the runner, which together identify one incarnation.
+  // `born_ms` is 0 until the runner has reported.
   std::string runner;
   int64_t born_ms = 0;
   std::string service;
   std::string failure_domain;
   Size capacity;
-  // Its kind and its rack.
+  // The runner's kind and its rack.
   std::vector<std::string> labels;
   bool draining = false;
 
--- a/submission/worker.cc
+++ b/submission/worker.cc
@@ -4,13 +4,15 @@
 
 namespace {
 
-void CountUp(const Placed& placed, std::map<std::string, ImageLoad>* loads) {
+void AddLoad(const PlacedTask& placed,
+             std::map<std::string, ImageLoad>* loads) {
   ImageLoad& load = (*loads)[placed.image];
   ++load.tasks;
   load.millicores += placed.size.millicores;
 }
 
-void CountDown(const Placed& placed, std::map<std::string, ImageLoad>* loads) {
+void RemoveLoad(const PlacedTask& placed,
+                std::map<std::string, ImageLoad>* loads) {
   const auto found = loads->find(placed.image);
   found->second.millicores -= placed.size.millicores;
   if (--found->second.tasks == 0)
@@ -19,17 +21,17 @@
 
 }  // namespace
 
-void Occupy(Worker* worker, const TaskRef& task, const Placed& placed) {
+void Occupy(Worker* worker, const TaskRef& task, const PlacedTask& placed) {
   Vacate(worker, task);
   worker->placed[task] = placed;
   worker->used = worker->used + CountedSize(placed.size, placed.fills);
   if (placed.fills) {
-    worker->fill_millicores += placed.size.millicores;
-    CountUp(placed, &worker->filling);
+    worker->filling_millicores += placed.size.millicores;
+    AddLoad(placed, &worker->filling);
   }
   if (placed.serves) {
     worker->serving_millicores += placed.size.millicores;
-    CountUp(placed, &worker->serving);
+    AddLoad(placed, &worker->serving);
   }
 }
 
@@ -37,15 +39,15 @@
   const auto found = worker->placed.find(task);
   if (found == worker->placed.end())
     return;
-  const Placed& placed = found->second;
+  const PlacedTask& placed = found->second;
   worker->used = worker->used - CountedSize(placed.size, placed.fills);
   if (placed.fills) {
-    worker->fill_millicores -= placed.size.millicores;
-    CountDown(placed, &worker->filling);
+    worker->filling_millicores -= placed.size.millicores;
+    RemoveLoad(placed, &worker->filling);
   }
   if (placed.serves) {
     worker->serving_millicores -= placed.size.millicores;
-    CountDown(placed, &worker->serving);
+    RemoveLoad(placed, &worker->serving);
   }
   worker->placed.erase(found);
 }
--- a/submission/worker.h
+++ b/submission/worker.h
@@ -1,10 +1,11 @@
 #ifndef SUBMISSION_WORKER_H_
 #define SUBMISSION_WORKER_H_
 
-// What the planner knows of one VM with a runner.
+// The planner's view of one VM with a runner.
 //
-// The room of a VM is what its runner says less what the planner has placed
-// there. Room comes back when the end of a run is reported.
+// The free capacity of a VM is the capacity that its runner reports minus the
+// tasks that the planner has placed there. It is freed when the end of a run is
+// reported.
 
 #include <cstdint>
 #include <map>
@@ -19,33 +20,34 @@
 namespace cuminjunction {
 
 // A task that the planner has placed on a VM.
-struct Placed {
+struct PlacedTask {
   uint32_t run = 0;
   Size size;
   bool fills = false;
-  // It has a limit for its response times, which is `latency_objective_ms`.
+  // The task has a limit for its response times, `latency_objective_ms`.
   bool serves = false;
   int64_t latency_objective_ms = 0;
   std::string image;
   bool long_running = false;
   bool checkpointed = false;
   bool stopping = false;
-  absl::Time since;
+  absl::Time placed_at;
 };
 
-// What the tasks of one image take on a VM.
+// Sums over the tasks of one image on a VM.
 struct ImageLoad {
   int tasks = 0;
   int64_t millicores = 0;
 };
 
-// What is expected of the tail of a serving image on a VM.
-struct TailOutlook {
+// Expected latency of a serving image on a VM. The expected latency ratio is
+// `baseline` * `slowdown`.
+struct LatencyOutlook {
   std::string image;
-  // Without filling tasks, as a share of the limit.
-  double base = 0;
-  // What the filling tasks there multiply it by.
-  double factor = 1;
+  // Latency ratio without filling tasks.
+  double baseline = 0;
+  // Factor by which the filling tasks on the VM raise the latency ratio.
+  double slowdown = 1;
 };
 
 struct Worker {
@@ -53,30 +55,31 @@
   RunnerInfo info;
   // The agent is connected and its runner is alive.
   bool usable = false;
-  // Connected and told everything it runs.
+  // The agent is connected and its full report has been merged.
   bool synced = false;
-  // Until when the runner may run what it runs, by the planner's grants.
-  absl::Time authority_end = absl::InfinitePast();
-  // The same by the grants of an earlier planner.
-  absl::Time inherited_end = absl::InfinitePast();
-  // Not chosen for new tasks until then.
+  // Time up to which this planner lets the runner continue its runs.
+  absl::Time grant_deadline = absl::InfinitePast();
+  // The latest such deadline that an earlier planner can have granted.
+  absl::Time inherited_grant_deadline = absl::InfinitePast();
+  // Gets no new tasks before this time.
   absl::Time avoid_until = absl::InfinitePast();
-  // Runs that failed since the last that succeeded.
-  int failures_in_row = 0;
-  // Sums over `placed`. Filling tasks are counted apart, since the runner does
-  // not count their processors.
+  // Failed runs since the last successful one.
+  int consecutive_failures = 0;
+  // Sums over `placed`. The processors of filling tasks are summed separately,
+  // since the runner does not count them against its capacity.
   Size used;
-  int64_t fill_millicores = 0;
+  int64_t filling_millicores = 0;
   int64_t serving_millicores = 0;
-  // Tasks by image.
+  // Load of the serving and the filling tasks by image.
   std::map<std::string, ImageLoad> serving;
   std::map<std::string, ImageLoad> filling;
-  // By serving image; see RefreshTails().
-  std::vector<TailOutlook> tails;
-  // Room kept free for a task that lasts while others are being stopped.
+  // By serving image; see RefreshLatencyOutlooks().
+  std::vector<LatencyOutlook> latency_outlooks;
+  // Capacity reserved for a long-running task while other tasks are being
+  // stopped to make space for it.
   Size reserved;
   absl::Time reserved_until = absl::InfinitePast();
-  std::map<TaskRef, Placed> placed;
+  std::map<TaskRef, PlacedTask> placed;
 };
 
 // The size that the runner counts against its capacity.
@@ -84,12 +87,12 @@
   return fills ? Size{0, size.memory_mib, size.accelerators} : size;
 }
 
-// Puts a task on a worker and takes it off.
-void Occupy(Worker* worker, const TaskRef& task, const Placed& placed);
+// Adds a task to the worker and its sums; Vacate() removes it.
+void Occupy(Worker* worker, const TaskRef& task, const PlacedTask& placed);
 void Vacate(Worker* worker, const TaskRef& task);
 
-// The label of the runner that names its rack, or empty. Labels are the kind
-// and the rack, in this order.
+// The label of the runner that names its rack, or empty. The labels are the
+// runner's kind and its rack, in this order.
 std::string RackOf(const RunnerInfo& info);
 
 }  // namespace cuminjunction
