--- a/daemon/agent_process.cc
+++ b/daemon/agent_process.cc
@@ -254,7 +254,7 @@
     this->config->OnPart(*part);
   } else if (const auto* notice = std::get_if<VersionNotice>(&message)) {
     this->config->OnNotice(*notice, reply);
-  } else if (std::holds_alternative<WorkerNudge>(message)) {
+  } else if (std::holds_alternative<WorkerChangeNotice>(message)) {
     if (this->worker)
       this->worker->Nudge();
   } else if (std::holds_alternative<DrainNotice>(message)) {
--- a/daemon/entry_process.cc
+++ b/daemon/entry_process.cc
@@ -392,7 +392,8 @@
   this->control.Post([this, worker] {
     for (const Member& member : this->gossip->Members()) {
       if (member.name == worker && member.role == Role::kAgent)
-        this->net.Send({member.host, member.peer_port}, WorkerNudge{worker});
+        this->net.Send({member.host, member.peer_port},
+                       WorkerChangeNotice{worker});
     }
   });
 }
--- a/daemon/fleet_agent.cc
+++ b/daemon/fleet_agent.cc
@@ -11,12 +11,12 @@
 
 namespace {
 
-// A runner opens few connections; others on its VM may too.
+// The runner opens few connections; other processes on its VM may open some.
 constexpr unsigned kMaxConnections = 64;
 
-// Starts of this time are told together. The number of waiting submissions,
-// which they change, may be 2 s old.
-constexpr std::chrono::milliseconds kStartedInterval(100);
+// Starts within this interval are sent in one notice. They change the count of
+// waiting submissions, which may be 2 s old.
+constexpr std::chrono::milliseconds kStartedNoticeInterval(100);
 
 HttpReply JsonReply(unsigned status, std::string body) {
   return {status, {{"Content-Type", "application/json"}}, std::move(body)};
@@ -42,11 +42,11 @@
     : settings(settings),
       log(log),
       thread("agent"),
-      started_timer(this->thread.Context()) {}
+      started_notice_timer(this->thread.Context()) {}
 
 FleetAgent::~FleetAgent() {
-  // The loop ends first, so that no wait that is over already runs into an
-  // object that is gone.
+  // The event loop stops first, so that the handler of a timer that has expired
+  // does not use a destroyed object.
   this->thread.Stop();
   if (this->guard)
     this->guard->Close();
@@ -73,7 +73,7 @@
       RunnerGuardOptions{absl::Milliseconds(fleet.max_lease_ms)}, this->log,
       &this->metrics,
       RunnerGuardHandlers{
-          .on_changed = [this] { this->Report(); },
+          .on_changed = [this] { this->SendRunnerReport(); },
           .on_ended =
               [this](int64_t born_ms, std::vector<EndedRun>&& ends) {
                 this->port->Send(EndNotices{born_ms, std::move(ends)});
@@ -84,8 +84,8 @@
                     StartRefused{task, run, static_cast<uint8_t>(outcome)});
               },
           .on_started =
-              [this](const TaskRef& task) { this->NoteStarted(task); },
-          .on_look =
+              [this](const TaskRef& task) { this->QueueStartedNotice(task); },
+          .on_sample =
               [this](const std::vector<ServingTail>& serving,
                      const FillingLoad& filling) {
                 NeighbourNotice notice;
@@ -100,9 +100,9 @@
           .on_planner =
               [this] {
                 this->orders_seen = 0;
-                this->Report();
-                // A planner that took over knows nothing of pairs yet.
-                this->port->Send(PairsNotice{0, this->guard->Pairs()});
+                this->SendRunnerReport();
+                // A planner that took over has no evidence on pairs yet.
+                this->port->Send(PairsNotice{0, this->guard->ExportPairs()});
               },
           .on_lost = [] {},
           .is_store_lost = nullptr,
@@ -141,21 +141,21 @@
   const auto call = ParseRunnerCall(exchange->method, exchange->path);
   unsigned status = 404;
   if (call && call->kind == RunnerCallKind::kHeartbeat) {
-    status = this->TakeHeartbeat(call->runner, exchange->body);
+    status = this->OnHeartbeat(call->runner, exchange->body);
   } else if (call) {
     status = 200;
     this->log->Write(LogLine("runner_left").Add("runner", call->runner));
-    if (call->runner == this->info.runner) {
-      this->info.draining = true;
-      this->guard->OnRunnerLeft();
-      this->ReportInfo();
+    if (call->runner == this->runner_info.runner) {
+      this->runner_info.draining = true;
+      this->guard->OnRunnerShutdown();
+      this->SendRunnerInfo();
     }
   }
   this->front->Answer(exchange, JsonReply(status, "{}"));
 }
 
-unsigned FleetAgent::TakeHeartbeat(const std::string& runner_name,
-                                   const std::string& body) {
+unsigned FleetAgent::OnHeartbeat(const std::string& runner_name,
+                                 const std::string& body) {
   const auto heartbeat = ParseRunnerHeartbeat(runner_name, body);
   if (!heartbeat) {
     this->log->Write(LogLine("heartbeat_refused", LogLevel::kWarning)
@@ -163,31 +163,32 @@
                          .Add("error", heartbeat.error()));
     return 400;
   }
-  const RunnerInfo& fresh = heartbeat.value().info;
-  // A heartbeat that was held up may be of an earlier life or moment.
-  const bool same_life =
-      fresh.runner == this->info.runner && fresh.born_ms == this->info.born_ms;
-  if (fresh.born_ms < this->info.born_ms ||
-      (same_life && heartbeat.value().sequence <= this->sequence))
+  const RunnerInfo& received = heartbeat.value().info;
+  // A delayed heartbeat may be of an earlier incarnation or older than the
+  // last.
+  const bool same_incarnation = received.runner == this->runner_info.runner &&
+                                received.born_ms == this->runner_info.born_ms;
+  if (received.born_ms < this->runner_info.born_ms ||
+      (same_incarnation && heartbeat.value().sequence <= this->last_sequence))
     return 200;
-  this->sequence = heartbeat.value().sequence;
-  if (fresh == this->info)
+  this->last_sequence = heartbeat.value().sequence;
+  if (received == this->runner_info)
     return 200;
   this->log->Write(LogLine("runner_heard")
-                       .Add("runner", fresh.runner)
-                       .Add("born_ms", fresh.born_ms)
-                       .Add("draining", fresh.draining)
-                       .Add("millicores", fresh.capacity.millicores));
-  this->info = fresh;
-  this->guard->SetProcessors(fresh.capacity.millicores);
-  this->ReportInfo();
+                       .Add("runner", received.runner)
+                       .Add("born_ms", received.born_ms)
+                       .Add("draining", received.draining)
+                       .Add("millicores", received.capacity.millicores));
+  this->runner_info = received;
+  this->guard->SetProcessors(received.capacity.millicores);
+  this->SendRunnerInfo();
   return 200;
 }
 
 void FleetAgent::OnPing(const PlannerPing& ping) {
   if (ping.grant_ms > 0)
-    this->guard->SetAuthority(FromMicros(ping.echoed_stamp_us) +
-                              absl::Milliseconds(ping.grant_ms));
+    this->guard->SetGrantDeadline(FromMicros(ping.echoed_stamp_us) +
+                                  absl::Milliseconds(ping.grant_ms));
 }
 
 void FleetAgent::OnMessage(FleetMessage&& message) {
@@ -207,7 +208,7 @@
   } else if (const auto* confirm = std::get_if<ConfirmEnds>(&message)) {
     this->guard->ConfirmEnds(confirm->born_ms, confirm->up_to);
   } else if (const auto* pairs = std::get_if<PairsNotice>(&message)) {
-    this->guard->Learn(pairs->pairs);
+    this->guard->MergePairs(pairs->pairs);
   } else if (const auto* request = std::get_if<PermitRequest>(&message)) {
     this->OnPermitRequest(*request);
   } else if (const auto* describe = std::get_if<DescribeRuns>(&message)) {
@@ -236,41 +237,42 @@
       });
 }
 
-void FleetAgent::Report() {
-  // Before it is certain what runs, nothing can be said.
-  if (!this->guard->IsKnown())
+void FleetAgent::SendRunnerReport() {
+  // A report sent before the runs are known would show them as ended.
+  if (!this->guard->AreRunsKnown())
     return;
   WorkerNotice notice;
   notice.orders_seen = this->orders_seen;
-  notice.info = this->info;
-  // A runner whose size is unknown takes no work yet.
-  notice.alive = this->guard->IsAlive() && !this->info.runner.empty();
+  notice.info = this->runner_info;
+  // A runner of unknown capacity receives no work yet.
+  notice.alive =
+      this->guard->IsRunnerAlive() && !this->runner_info.runner.empty();
   notice.info.born_ms = this->guard->BornMs();
   notice.running = this->guard->Running();
   notice.ended = this->guard->Ended();
   this->port->Send(notice);
 }
 
-void FleetAgent::NoteStarted(const TaskRef& task) {
-  const bool waiting = !this->started.submissions.empty();
-  this->started.submissions.insert(task.submission);
-  if (waiting)
+void FleetAgent::QueueStartedNotice(const TaskRef& task) {
+  const bool timer_pending = !this->started_notice.submissions.empty();
+  this->started_notice.submissions.insert(task.submission);
+  if (timer_pending)
     return;
-  this->started_timer.expires_after(kStartedInterval);
-  this->started_timer.async_wait([this](std::error_code error) {
+  this->started_notice_timer.expires_after(kStartedNoticeInterval);
+  this->started_notice_timer.async_wait([this](std::error_code error) {
     if (!error)
-      this->port->Send(std::exchange(this->started, {}));
+      this->port->Send(std::exchange(this->started_notice, {}));
   });
 }
 
-void FleetAgent::ReportInfo() {
-  if (!this->guard->IsKnown())
+void FleetAgent::SendRunnerInfo() {
+  if (!this->guard->AreRunsKnown())
     return;
   InfoNotice notice;
-  notice.info = this->info;
+  notice.info = this->runner_info;
   notice.info.born_ms = this->guard->BornMs();
-  notice.alive =
-      this->guard->IsAlive() && this->info.born_ms == this->guard->BornMs();
+  notice.alive = this->guard->IsRunnerAlive() &&
+                 this->runner_info.born_ms == this->guard->BornMs();
   this->port->Send(notice);
 }
 
--- a/daemon/fleet_agent.h
+++ b/daemon/fleet_agent.h
@@ -1,8 +1,8 @@
 #ifndef DAEMON_FLEET_AGENT_H_
 #define DAEMON_FLEET_AGENT_H_
 
-// An agent on the users' platform: takes the heartbeats of the runner on its VM
-// and carries out the planner's orders there.
+// An agent on the users' platform: receives the heartbeats of the runner on its
+// VM, executes the planner's orders there and reports the runs to the planner.
 //
 //   Result<std::unique_ptr<FleetAgent>> agent = FleetAgent::Start(settings,
 //   &log);
@@ -33,16 +33,16 @@
 
 class FleetAgent {
  public:
-  // Starts the agent's thread. Fails with the system's error when an address
-  // can't be listened on.
+  // Starts the agent's thread. Fails with the system's error when the agent
+  // can't listen on one of its addresses.
   static Result<std::unique_ptr<FleetAgent>> Start(const Settings& settings,
                                                    Log* log);
   ~FleetAgent();
   FleetAgent(const FleetAgent&) = delete;
   FleetAgent& operator=(const FleetAgent&) = delete;
 
-  // Stops. The runner goes on under the lease that it has, so that an agent
-  // that starts again within it finds its tasks running.
+  // Logs the stop and leaves the runner its present lease. An agent that
+  // restarts before the lease expires finds its tasks running.
   void Shutdown();
 
  private:
@@ -50,13 +50,16 @@
 
   Status Listen();
   void OnRunnerRequest(HttpExchange* exchange);
-  unsigned TakeHeartbeat(const std::string& runner, const std::string& body);
+  // Returns the HTTP status of the answer.
+  unsigned OnHeartbeat(const std::string& runner, const std::string& body);
   void OnMessage(FleetMessage&& message);
   void OnPermitRequest(const PermitRequest& request);
   void OnPing(const PlannerPing& ping);
-  void Report();
-  void ReportInfo();
-  void NoteStarted(const TaskRef& task);
+  // Sends the planner the runner's data and all its runs.
+  void SendRunnerReport();
+  // Sends the planner the runner's data without its runs.
+  void SendRunnerInfo();
+  void QueueStartedNotice(const TaskRef& task);
 
   Settings settings;
   Log* log;
@@ -71,14 +74,15 @@
   std::unique_ptr<PlannerPort> port;
   std::unique_ptr<HttpFront> front;
   std::unique_ptr<MetricsFront> metrics_front;
-  // The last heartbeat of the present life.
-  RunnerInfo info;
-  int64_t sequence = 0;
-  // Submissions of which the runner has started a task, to be told when the
-  // timer ends.
-  StartedNotice started;
-  boost::asio::steady_timer started_timer;
-  // The last StartRuns on the planner's connection.
+  // Contents and sequence number of the last heartbeat of the runner's present
+  // incarnation.
+  RunnerInfo runner_info;
+  int64_t last_sequence = 0;
+  // Submissions of which the runner has started a task; sent to the planner
+  // when the timer expires.
+  StartedNotice started_notice;
+  boost::asio::steady_timer started_notice_timer;
+  // Number of the last StartRuns received on the planner's connection.
   uint64_t orders_seen = 0;
 };
 
--- a/daemon/fleet_entry.cc
+++ b/daemon/fleet_entry.cc
@@ -15,27 +15,27 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick(100);
+constexpr std::chrono::milliseconds kTickInterval(100);
 
-// Callers that are refused come back after this, in seconds: an outage of the
-// store lasts 4 to 9 s, and callers try four times more.
+// Retry-After of refused requests, in seconds. An outage of the store lasts 4
+// to 9 s, and callers retry four times.
 constexpr char kRetryAfterS[] = "2";
 
-// How long accepted submissions are repeated to a new planner; by then its
-// reads of the tables have found them.
-constexpr absl::Duration kRepeatAccepted = absl::Seconds(5);
+// How long after its acceptance a submission is sent to a new planner. Older
+// ones are found by the planner's reads of the tables.
+constexpr absl::Duration kAcceptedRepeatTime = absl::Seconds(5);
 
-// Counts of waiting submissions may be 2 s old by the platform's rules.
-constexpr absl::Duration kWaitingFresh = absl::Milliseconds(1900);
+// The platform's rules allow counts of waiting submissions that are 2 s old.
+constexpr absl::Duration kMaxWaitingCountAge = absl::Milliseconds(1900);
 
-// Statuses 200 to 299 are one class, and so on.
+// HTTP statuses 200 to 299 form one class, and so on.
 constexpr unsigned kStatusesInClass = 100;
 
-// After SIGTERM: time until the platform has noticed that the entry is not
-// ready (two questions a second apart, and a margin), and time for the last
-// answers.
+// After SIGTERM: time until the platform has seen that the entry is not ready
+// (two readiness checks a second apart, and a margin), and time to deliver the
+// last answers.
 constexpr std::chrono::milliseconds kNotReadyGrace(2600);
-constexpr std::chrono::milliseconds kLastAnswers(600);
+constexpr std::chrono::milliseconds kFinalAnswersGrace(600);
 
 }  // namespace
 
@@ -60,8 +60,8 @@
       tick_timer(this->thread.Context()) {}
 
 FleetEntry::~FleetEntry() {
-  // The loop ends first, so that no wait that is over already runs into an
-  // object that is gone.
+  // The event loop stops first, so that the handler of a timer that has expired
+  // does not use a destroyed object.
   this->thread.Stop();
   this->front = nullptr;
   this->ready_front = nullptr;
@@ -85,7 +85,7 @@
   this->port = std::make_unique<PlannerPort>(
       &this->thread, this->settings.name, this->log,
       PlannerPortHandlers{
-          .on_planner = [this] { this->OnPlanner(); },
+          .on_planner = [this] { this->OnPlannerConnected(); },
           .on_lost = [this] { this->view.store_trouble = false; },
           .is_store_lost =
               [this] {
@@ -133,14 +133,15 @@
       context, this->store.get(), this->log,
       [this](const FleetPolicy& policy) { this->planner->SetPolicy(policy); });
   this->follower->Start();
-  // What an earlier process on this VM has reported is not known.
+  // An earlier process on this VM may just have reported the store as lost.
   this->view.last_lost_report = BootClock().Now();
   this->Tick();
   return Ok();
 }
 
 void FleetEntry::Tick() {
-  // A planner that does not know of this entry can't ask for its word.
+  // A planner that does not know of this entry yet may give long grants without
+  // its report that the store is lost, so the report counts as made just now.
   if (!this->registration->IsDone())
     this->view.last_lost_report = BootClock().Now();
   this->view.connected = this->port->IsConnected();
@@ -148,11 +149,11 @@
   this->view.epoch = this->port->Epoch();
   this->planner->Tick(this->view);
   const absl::Time now = BootClock().Now();
-  while (!this->recent.empty() &&
-         now - this->recent.front().first > kRepeatAccepted)
-    this->recent.pop_front();
-  this->ForgetOld(now);
-  this->tick_timer.expires_after(kTick);
+  while (!this->recently_accepted.empty() &&
+         now - this->recently_accepted.front().first > kAcceptedRepeatTime)
+    this->recently_accepted.pop_front();
+  this->RemoveExpired(now);
+  this->tick_timer.expires_after(kTickInterval);
   this->tick_timer.async_wait([this](std::error_code error) {
     if (!error)
       this->Tick();
@@ -168,13 +169,13 @@
   });
   std::this_thread::sleep_for(kNotReadyGrace);
   this->thread.Call([this] { this->front->StopListening(); });
-  const absl::Time until =
+  const absl::Time answer_deadline =
       absl::Now() + absl::Milliseconds(this->settings.fleet.stop_grace_ms) -
-      absl::FromChrono(kNotReadyGrace + 2 * kLastAnswers);
-  while (absl::Now() < until &&
+      absl::FromChrono(kNotReadyGrace + 2 * kFinalAnswersGrace);
+  while (absl::Now() < answer_deadline &&
          this->thread.Call([this] { return this->front->OpenCount(); }) > 0)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  std::this_thread::sleep_for(kLastAnswers);
+  std::this_thread::sleep_for(kFinalAnswersGrace);
   this->log->Write(LogLine("stopped").Add("role", "entry"));
 }
 
@@ -183,13 +184,14 @@
 }
 
 void FleetEntry::OnReadyRequest(HttpExchange* exchange) {
-  const bool known = IsReadyCall(exchange->method, exchange->path);
-  const unsigned unready = known ? 503 : 404;
-  this->ready_front->Answer(exchange,
-                            {known && this->IsReady() ? 200 : unready, {}, ""});
+  const bool is_ready_call = IsReadyCall(exchange->method, exchange->path);
+  const unsigned not_ready_status = is_ready_call ? 503 : 404;
+  this->ready_front->Answer(
+      exchange,
+      {is_ready_call && this->IsReady() ? 200 : not_ready_status, {}, ""});
 }
 
-void FleetEntry::ObserveAnswer(const HttpExchange& exchange, unsigned status) {
+void FleetEntry::RecordAnswer(const HttpExchange& exchange, unsigned status) {
   this->metrics
       .GetHistogram("answer_seconds",
                     StrCat("method=\"", exchange.method, "\",class=\"",
@@ -200,7 +202,7 @@
 void FleetEntry::Reply(HttpExchange* exchange,
                        unsigned status,
                        std::string body) {
-  this->ObserveAnswer(*exchange, status);
+  this->RecordAnswer(*exchange, status);
   this->front->Answer(
       exchange,
       {status, {{"Content-Type", "application/json"}}, std::move(body)});
@@ -210,7 +212,7 @@
                         unsigned status,
                         const std::string& id,
                         std::string_view reason) {
-  this->ObserveAnswer(*exchange, status);
+  this->RecordAnswer(*exchange, status);
   this->metrics
       .GetCounter("submissions_refused_total",
                   StrCat("reason=\"", reason, "\""))
@@ -252,13 +254,13 @@
   }
   const std::string name = path.substr(queue->prefix.size());
   if (exchange->method == "GET" && name.empty()) {
-    this->OnWaiting(exchange, *queue);
+    this->OnWaitingCount(exchange, *queue);
   } else if (!IsSubmissionId(name)) {
     this->Refuse(exchange, 400, id, "bad-id");
   } else if (exchange->method == "POST") {
     this->OnSubmit(exchange, *queue, name);
   } else if (exchange->method == "GET") {
-    this->OnState(exchange, name);
+    this->OnStateQuery(exchange, name);
   } else if (exchange->method == "DELETE") {
     this->OnCancel(exchange, name);
   } else {
@@ -266,11 +268,11 @@
   }
 }
 
-void FleetEntry::LookUp(
+void FleetEntry::ReadState(
     const std::string& id,
     std::function<void(std::error_code, std::optional<SubmissionState>)> done) {
   this->store->ReadOne(
-      kSubmissionTable, id, kCallTimeout,
+      kSubmissionTable, id, kStoreCallTimeout,
       [this, id, done = std::move(done)](RowsReply&& row) {
         if (row.error || row.rows.empty()) {
           done(row.error, std::nullopt);
@@ -281,7 +283,7 @@
           done({}, stored.value().end);
           return;
         }
-        this->store->ReadOne(kProgressTable, id, kCallTimeout,
+        this->store->ReadOne(kProgressTable, id, kStoreCallTimeout,
                              [id, done](RowsReply&& reply) {
                                SubmissionState state = SubmissionState::kQueued;
                                if (!reply.error && !reply.rows.empty()) {
@@ -295,31 +297,32 @@
       });
 }
 
-void FleetEntry::OnState(HttpExchange* exchange, const std::string& id) {
+void FleetEntry::OnStateQuery(HttpExchange* exchange, const std::string& id) {
   const auto found = this->states.find(id);
   if (found != this->states.end()) {
     this->Reply(exchange, 200, StateBody(found->second));
     return;
   }
-  // Another entry may have taken it a moment ago.
-  this->LookUp(id, [this, exchange, id](std::error_code error,
-                                        std::optional<SubmissionState> state) {
-    if (error) {
-      this->Refuse(exchange, 503, id, "store-unavailable");
-    } else if (!state) {
-      this->Refuse(exchange, 410, id, "unknown-submission");
-    } else {
-      this->SetState(id, *state);
-      this->Reply(exchange, 200, StateBody(this->states.at(id)));
-    }
-  });
+  // Another entry may have accepted the submission a moment ago.
+  this->ReadState(
+      id, [this, exchange, id](std::error_code error,
+                               std::optional<SubmissionState> state) {
+        if (error) {
+          this->Refuse(exchange, 503, id, "store-unavailable");
+        } else if (!state) {
+          this->Refuse(exchange, 410, id, "unknown-submission");
+        } else {
+          this->SetState(id, *state);
+          this->Reply(exchange, 200, StateBody(this->states.at(id)));
+        }
+      });
 }
 
 void FleetEntry::OnCancel(HttpExchange* exchange, const std::string& id) {
   const absl::Time deadline =
       BootClock().Now() +
-      absl::Milliseconds(
-          CallerPatienceMs(exchange->headers).value_or(kDefaultPatienceMs)) -
+      absl::Milliseconds(CallerPatienceMs(exchange->headers)
+                             .value_or(kDefaultCallerTimeoutMs)) -
       kAnswerMargin;
   const auto found = this->states.find(id);
   if (found != this->states.end()) {
@@ -329,7 +332,7 @@
       this->SendCancel(exchange, id, deadline);
     return;
   }
-  this->LookUp(
+  this->ReadState(
       id, [this, exchange, id, deadline](std::error_code error,
                                          std::optional<SubmissionState> state) {
         if (error) {
@@ -352,7 +355,7 @@
   const absl::Duration left = deadline - BootClock().Now();
   this->store->Commit(
       {.expects = {}, .puts = {{kCancellationTable, id, ""}}},
-      std::clamp(left, absl::Milliseconds(1), kCallTimeout),
+      std::clamp(left, absl::Milliseconds(1), kStoreCallTimeout),
       [this, exchange, id, deadline](CommitReply&& reply) {
         if (!reply.error) {
           this->port->Send(CancelledNotice{id});
@@ -362,22 +365,23 @@
         Submission cancelled;
         cancelled.id = id;
         if (reply.error == PlatformError::kRefused &&
-            this->Relay(cancelled, true, deadline,
-                        [this, exchange, id](bool stored) {
-                          if (stored)
-                            this->FinishCancel(exchange, id);
-                          else
-                            this->Refuse(exchange, 504, id, "outcome-unknown");
-                        }))
+            this->RelayToPlanner(
+                cancelled, true, deadline, [this, exchange, id](bool stored) {
+                  if (stored)
+                    this->FinishCancel(exchange, id);
+                  else
+                    this->Refuse(exchange, 504, id, "outcome-unknown");
+                }))
           return;
-        if (BootClock().Now() + kRetryPause >= deadline) {
+        if (BootClock().Now() + kStoreRetryDelay >= deadline) {
           this->Refuse(exchange, 504, id, "outcome-unknown");
           return;
         }
-        auto pause = std::make_shared<boost::asio::steady_timer>(
-            this->thread.Context(), absl::ToChronoMilliseconds(kRetryPause));
-        pause->async_wait(
-            [this, exchange, id, deadline, pause](std::error_code error) {
+        auto retry_timer = std::make_shared<boost::asio::steady_timer>(
+            this->thread.Context(),
+            absl::ToChronoMilliseconds(kStoreRetryDelay));
+        retry_timer->async_wait(
+            [this, exchange, id, deadline, retry_timer](std::error_code error) {
               if (!error)
                 this->SendCancel(exchange, id, deadline);
             });
@@ -390,23 +394,24 @@
   this->Reply(exchange, 200, "{}");
 }
 
-void FleetEntry::OnWaiting(HttpExchange* exchange, const Queue& queue) {
-  if (BootClock().Now() - this->waiting_at > kWaitingFresh) {
+void FleetEntry::OnWaitingCount(HttpExchange* exchange, const Queue& queue) {
+  if (BootClock().Now() - this->waiting_counts_at > kMaxWaitingCountAge) {
     this->Refuse(exchange, 503, "", "count-too-old");
     return;
   }
-  const auto found = this->waiting.find(queue.name);
-  this->Reply(exchange, 200,
-              WaitingBody(found == this->waiting.end() ? 0 : found->second));
+  const auto found = this->waiting_counts.find(queue.name);
+  this->Reply(
+      exchange, 200,
+      WaitingBody(found == this->waiting_counts.end() ? 0 : found->second));
 }
 
 void FleetEntry::SetState(const std::string& id, SubmissionState state) {
-  SubmissionState& known = this->states[id];
-  if (IsFinal(known))
+  SubmissionState& current = this->states[id];
+  if (IsFinal(current))
     return;
-  known = state;
+  current = state;
   if (IsFinal(state))
-    this->noted.emplace_back(BootClock().Now(), id);
+    this->expiry_queue.emplace_back(BootClock().Now(), id);
 }
 
 absl::Duration FleetEntry::Retention() const {
@@ -414,20 +419,20 @@
          kRetentionFactor;
 }
 
-void FleetEntry::ForgetOld(absl::Time now) {
-  while (!this->noted.empty() &&
-         now - this->noted.front().first > this->Retention()) {
-    const std::string& id = this->noted.front().second;
-    this->doubtful.erase(id);
+void FleetEntry::RemoveExpired(absl::Time now) {
+  while (!this->expiry_queue.empty() &&
+         now - this->expiry_queue.front().first > this->Retention()) {
+    const std::string& id = this->expiry_queue.front().second;
+    this->unresolved_ids.erase(id);
     const auto state = this->states.find(id);
     if (state != this->states.end() && IsFinal(state->second))
       this->states.erase(state);
-    this->noted.pop_front();
+    this->expiry_queue.pop_front();
   }
 }
 
-void FleetEntry::OnPlanner() {
-  for (const auto& [time, submission] : this->recent)
+void FleetEntry::OnPlannerConnected() {
+  for (const auto& [time, submission] : this->recently_accepted)
     this->port->Send(AcceptedNotice{submission});
 }
 
@@ -437,12 +442,12 @@
       this->SetState(notice.submission,
                      static_cast<SubmissionState>(notice.state));
   } else if (const auto* stored = std::get_if<StoreDone>(&message)) {
-    auto relay = this->relays.extract(stored->number);
+    auto relay = this->pending_relays.extract(stored->number);
     if (!relay.empty())
       relay.mapped()(true);
   } else if (auto* counts = std::get_if<WaitingNotice>(&message)) {
-    this->waiting = std::move(counts->waiting);
-    this->waiting_at = BootClock().Now();
+    this->waiting_counts = std::move(counts->waiting);
+    this->waiting_counts_at = BootClock().Now();
   }
 }
 
--- a/daemon/fleet_entry.h
+++ b/daemon/fleet_entry.h
@@ -1,16 +1,17 @@
 #ifndef DAEMON_FLEET_ENTRY_H_
 #define DAEMON_FLEET_ENTRY_H_
 
-// An entry on the users' platform: takes submissions of callers, tells their
-// state, and is a candidate for the planner.
+// An entry on the users' platform: accepts submissions from callers, answers
+// queries of their state, and is a candidate for the planner's role.
 //
 //   Result<std::unique_ptr<FleetEntry>> entry = FleetEntry::Start(settings,
 //   &log);
 //   ...
 //   entry.value()->Shutdown();
 //
-// An answer that a submission is accepted means that its row is stored; one
-// that it is refused means that the row is not stored and never will be.
+// An accepted submission has its row in the store. The row of a refused one is
+// not stored and never will be. With neither certain, the answer is that the
+// outcome is unknown.
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -43,20 +44,21 @@
 
 class FleetEntry {
  public:
-  // Starts the entry's thread. Fails with the system's error when an address
-  // can't be listened on.
+  // Starts the entry's thread. Fails with the system's error when the entry
+  // can't listen on one of its addresses.
   static Result<std::unique_ptr<FleetEntry>> Start(const Settings& settings,
                                                    Log* log);
   ~FleetEntry();
   FleetEntry(const FleetEntry&) = delete;
   FleetEntry& operator=(const FleetEntry&) = delete;
 
-  // Stops gracefully: reports not ready, gives up the lease, answers what
-  // callers still send, and closes their connections.
+  // Stops gracefully: reports not ready, releases the planner's lease, answers
+  // the requests that still arrive, and closes the callers' connections. Blocks
+  // for up to the configured grace period.
   void Shutdown();
 
  private:
-  struct Submit;
+  struct PendingSubmission;
 
   FleetEntry(const Settings& settings, Log* log);
 
@@ -66,39 +68,41 @@
   void OnSubmit(HttpExchange* exchange,
                 const Queue& queue,
                 const std::string& id);
-  void SendSubmit(const std::shared_ptr<Submit>& submit);
-  void OnSubmitReply(const std::shared_ptr<Submit>& submit,
+  void SendSubmit(const std::shared_ptr<PendingSubmission>& pending);
+  void OnSubmitReply(const std::shared_ptr<PendingSubmission>& pending,
                      CommitReply&& reply);
-  void NoteDoubtful(const std::string& id);
-  void OnStoreUnavailable(const std::shared_ptr<Submit>& submit);
-  void Accept(const std::shared_ptr<Submit>& submit);
-  void OnState(HttpExchange* exchange, const std::string& id);
+  void MarkUnresolved(const std::string& id);
+  void OnStoreUnavailable(const std::shared_ptr<PendingSubmission>& pending);
+  void AcceptSubmission(const std::shared_ptr<PendingSubmission>& pending);
+  void OnStateQuery(HttpExchange* exchange, const std::string& id);
   void OnCancel(HttpExchange* exchange, const std::string& id);
   void SendCancel(HttpExchange* exchange,
                   const std::string& id,
                   absl::Time deadline);
   void FinishCancel(HttpExchange* exchange, const std::string& id);
-  // Has the planner store a row that the store refused from this entry. False
-  // when there is no planner that could. `done` is told whether the row is
-  // stored; if not, it may still be stored later.
-  bool Relay(const Submission& submission,
-             bool cancel,
-             absl::Time deadline,
-             std::function<void(bool stored)> done);
-  void OnWaiting(HttpExchange* exchange, const Queue& queue);
-  // Reads from the store what is known of a submission.
-  void LookUp(const std::string& id,
-              std::function<void(std::error_code,
-                                 std::optional<SubmissionState>)> done);
+  // Asks the planner to store a row, or a cancellation when `cancel` is set,
+  // that the store refused from this entry. Returns false, without a call of
+  // `done`, when no planner with a reachable store is connected. `stored` is
+  // false when no answer came in time; the row may still be stored later.
+  bool RelayToPlanner(const Submission& submission,
+                      bool cancel,
+                      absl::Time deadline,
+                      std::function<void(bool stored)> done);
+  void OnWaitingCount(HttpExchange* exchange, const Queue& queue);
+  // Reads a submission's state from the store; no value without a row.
+  void ReadState(const std::string& id,
+                 std::function<void(std::error_code,
+                                    std::optional<SubmissionState>)> done);
   void OnReadyRequest(HttpExchange* exchange);
   void OnMessage(FleetMessage&& message);
-  void OnPlanner();
+  void OnPlannerConnected();
   void SetState(const std::string& id, SubmissionState state);
   absl::Duration Retention() const;
-  // Forgets what was noted longer than the retention ago.
-  void ForgetOld(absl::Time now);
+  // Removes entries of `expiry_queue` that are older than the retention, with
+  // their ids in `unresolved_ids` and their final states.
+  void RemoveExpired(absl::Time now);
   void Reply(HttpExchange* exchange, unsigned status, std::string body);
-  void ObserveAnswer(const HttpExchange& exchange, unsigned status);
+  void RecordAnswer(const HttpExchange& exchange, unsigned status);
   void Refuse(HttpExchange* exchange,
               unsigned status,
               const std::string& id,
@@ -121,18 +125,21 @@
   bool stopping = false;
   PlannerView view;
   absl::flat_hash_map<std::string, SubmissionState> states;
-  // Submissions accepted lately, which a new planner is told of.
-  std::deque<std::pair<absl::Time, Submission>> recent;
-  // Submissions that this entry may or may not have stored: they must not be
-  // called refused later.
-  absl::flat_hash_set<std::string> doubtful;
-  // When submissions got into `doubtful`, or into `states` with a final state.
-  std::deque<std::pair<absl::Time, std::string>> noted;
-  // Requests to the planner that were not answered, by number.
-  uint64_t next_relay = 1;
-  std::map<uint64_t, std::function<void(bool stored)>> relays;
-  std::map<std::string, uint64_t> waiting;
-  absl::Time waiting_at = absl::InfinitePast();
+  // Submissions accepted within the last seconds, which are sent to a new
+  // planner.
+  std::deque<std::pair<absl::Time, Submission>> recently_accepted;
+  // Submissions whose row this entry may or may not have stored. A later
+  // request for one must not be answered as refused.
+  absl::flat_hash_set<std::string> unresolved_ids;
+  // Submissions in the order in which they were added to `unresolved_ids` or
+  // got a final state in `states`, with the time.
+  std::deque<std::pair<absl::Time, std::string>> expiry_queue;
+  // Callbacks of unanswered requests to the planner, by request number.
+  uint64_t next_relay_number = 1;
+  std::map<uint64_t, std::function<void(bool stored)>> pending_relays;
+  // Waiting submissions of each queue, and when the planner sent the counts.
+  std::map<std::string, uint64_t> waiting_counts;
+  absl::Time waiting_counts_at = absl::InfinitePast();
 };
 
 }  // namespace cuminjunction
--- a/daemon/fleet_entry_internal.h
+++ b/daemon/fleet_entry_internal.h
@@ -1,7 +1,7 @@
 #ifndef DAEMON_FLEET_ENTRY_INTERNAL_H_
 #define DAEMON_FLEET_ENTRY_INTERNAL_H_
 
-// Limits that the parts of an entry's implementation share.
+// Timeouts that the source files of FleetEntry share.
 
 #include <cstdint>
 
@@ -9,20 +9,20 @@
 
 namespace cuminjunction {
 
-// Limit for one call to the store; a slow store answers in 240 ms.
-constexpr absl::Duration kCallTimeout = absl::Milliseconds(700);
-constexpr absl::Duration kRetryPause = absl::Milliseconds(50);
+// Timeout of one call to the store; a slow store answers in 240 ms.
+constexpr absl::Duration kStoreCallTimeout = absl::Milliseconds(700);
+constexpr absl::Duration kStoreRetryDelay = absl::Milliseconds(50);
 
-// What a caller that does not say so waits for an answer.
-constexpr int64_t kDefaultPatienceMs = 3000;
+// Assumed for callers that do not state how long they wait for an answer.
+constexpr int64_t kDefaultCallerTimeoutMs = 3000;
 
-// The last moment for an answer is this long before the caller's patience
-// ends: a round trip to a caller takes 6 ms.
+// An answer is sent at the latest this long before the caller's timeout; a
+// round trip to a caller takes 6 ms.
 constexpr absl::Duration kAnswerMargin = absl::Milliseconds(150);
 
-// Rows and states of ended submissions are kept this many times as long as
-// callers may ask for them, since clocks of VMs differ and a repeated request
-// may arrive seconds after the first.
+// Rows and states of ended submissions are kept for the period in which callers
+// may query them times this factor, since the clocks of VMs differ and a
+// repeated request may arrive seconds after the first.
 constexpr double kRetentionFactor = 1.5;
 
 }  // namespace cuminjunction
--- a/daemon/fleet_entry_submit.cc
+++ b/daemon/fleet_entry_submit.cc
@@ -1,4 +1,4 @@
-// How an entry stores a submission and answers its caller.
+// FleetEntry: stores submissions and answers their callers.
 
 #include <algorithm>
 #include <utility>
@@ -14,20 +14,21 @@
 
 namespace {
 
-// Limit for a row that the planner is asked to store. A planner that can't is
-// known as such within 1.7 s; a caller is not held for longer than a commit and
-// the way to another region take.
+// Timeout of a request that the planner store a row. An entry detects a planner
+// without a store within 1.7 s; a caller waits no longer than a commit and the
+// round trip to another region take.
 constexpr absl::Duration kRelayTimeout = absl::Milliseconds(700);
 
 }  // namespace
 
 // A submission whose row is being stored.
-struct FleetEntry::Submit {
+struct FleetEntry::PendingSubmission {
   HttpExchange* exchange = nullptr;
   Submission submission;
   absl::Time deadline;
-  // A try may have been carried out, or may still be.
-  bool maybe = false;
+  // The answer of the store to an attempt was lost: the row may be stored, or
+  // may still become so.
+  bool unresolved = false;
 };
 
 void FleetEntry::OnSubmit(HttpExchange* exchange,
@@ -38,7 +39,7 @@
     this->Refuse(exchange, 413, id, "body-too-large");
     return;
   }
-  // A repetition of a submission that is stored.
+  // A repeated request for a submission that is stored.
   if (this->states.contains(id)) {
     this->Reply(exchange, 200, "{}");
     return;
@@ -48,101 +49,104 @@
     this->Refuse(exchange, 400, id, "bad-body");
     return;
   }
-  auto submit = std::make_shared<Submit>();
-  submit->exchange = exchange;
-  submit->submission = std::move(submission.value());
-  submit->submission.id = id;
-  submit->submission.queue = queue.name;
-  submit->maybe = this->doubtful.contains(id);
-  submit->submission.accepted_ms = absl::ToUnixMillis(absl::Now());
-  submit->deadline =
+  auto pending = std::make_shared<PendingSubmission>();
+  pending->exchange = exchange;
+  pending->submission = std::move(submission.value());
+  pending->submission.id = id;
+  pending->submission.queue = queue.name;
+  pending->unresolved = this->unresolved_ids.contains(id);
+  pending->submission.accepted_ms = absl::ToUnixMillis(absl::Now());
+  pending->deadline =
       BootClock().Now() +
-      absl::Milliseconds(
-          CallerPatienceMs(exchange->headers).value_or(kDefaultPatienceMs)) -
+      absl::Milliseconds(CallerPatienceMs(exchange->headers)
+                             .value_or(kDefaultCallerTimeoutMs)) -
       kAnswerMargin;
   if (this->follower->IsStoreLost())
-    this->OnStoreUnavailable(submit);
+    this->OnStoreUnavailable(pending);
   else
-    this->SendSubmit(submit);
+    this->SendSubmit(pending);
 }
 
-void FleetEntry::SendSubmit(const std::shared_ptr<Submit>& submit) {
-  const std::string& id = submit->submission.id;
-  const absl::Duration left = submit->deadline - BootClock().Now();
-  this->store->Commit({.expects = {{kSubmissionTable, id, 0}},
-                       .puts = {{kSubmissionTable, id,
-                                 Encode(SubmissionRow{submit->submission})}}},
-                      std::clamp(left, absl::Milliseconds(1), kCallTimeout),
-                      [this, submit](CommitReply&& reply) {
-                        this->OnSubmitReply(submit, std::move(reply));
-                      });
+void FleetEntry::SendSubmit(const std::shared_ptr<PendingSubmission>& pending) {
+  const std::string& id = pending->submission.id;
+  const absl::Duration left = pending->deadline - BootClock().Now();
+  this->store->Commit(
+      {.expects = {{kSubmissionTable, id, 0}},
+       .puts = {{kSubmissionTable, id,
+                 Encode(SubmissionRow{pending->submission})}}},
+      std::clamp(left, absl::Milliseconds(1), kStoreCallTimeout),
+      [this, pending](CommitReply&& reply) {
+        this->OnSubmitReply(pending, std::move(reply));
+      });
 }
 
-void FleetEntry::OnSubmitReply(const std::shared_ptr<Submit>& submit,
-                               CommitReply&& reply) {
-  const std::string& id = submit->submission.id;
-  // A conflict means that the row exists: by an earlier try, or by another
-  // entry that got the same submission.
+void FleetEntry::OnSubmitReply(
+    const std::shared_ptr<PendingSubmission>& pending,
+    CommitReply&& reply) {
+  const std::string& id = pending->submission.id;
+  // A conflict means that the row exists: an earlier attempt, or another entry
+  // that received the same submission, has stored it.
   if (!reply.error || reply.error == PlatformError::kConflict) {
-    this->Accept(submit);
+    this->AcceptSubmission(pending);
     return;
   }
   const bool refused = reply.error == PlatformError::kRefused ||
                        reply.error == PlatformError::kNotSent;
   if (!refused) {
-    submit->maybe = true;
-    this->NoteDoubtful(id);
+    pending->unresolved = true;
+    this->MarkUnresolved(id);
   }
-  // A lost reply is followed up; an outage is not waited for.
+  // The commit is repeated after a lost reply, but not during an outage.
   if (refused || this->follower->IsStoreLost() ||
-      BootClock().Now() + kRetryPause >= submit->deadline) {
-    this->OnStoreUnavailable(submit);
+      BootClock().Now() + kStoreRetryDelay >= pending->deadline) {
+    this->OnStoreUnavailable(pending);
     return;
   }
-  auto pause = std::make_shared<boost::asio::steady_timer>(
-      this->thread.Context(), absl::ToChronoMilliseconds(kRetryPause));
-  pause->async_wait([this, submit, pause](std::error_code error) {
+  auto retry_timer = std::make_shared<boost::asio::steady_timer>(
+      this->thread.Context(), absl::ToChronoMilliseconds(kStoreRetryDelay));
+  retry_timer->async_wait([this, pending, retry_timer](std::error_code error) {
     if (!error)
-      this->SendSubmit(submit);
+      this->SendSubmit(pending);
   });
 }
 
-void FleetEntry::NoteDoubtful(const std::string& id) {
-  if (this->doubtful.insert(id).second)
-    this->noted.emplace_back(BootClock().Now(), id);
+void FleetEntry::MarkUnresolved(const std::string& id) {
+  if (this->unresolved_ids.insert(id).second)
+    this->expiry_queue.emplace_back(BootClock().Now(), id);
 }
 
-void FleetEntry::OnStoreUnavailable(const std::shared_ptr<Submit>& submit) {
-  const std::string& id = submit->submission.id;
-  const auto done = [this, submit](bool stored) {
+void FleetEntry::OnStoreUnavailable(
+    const std::shared_ptr<PendingSubmission>& pending) {
+  const std::string& id = pending->submission.id;
+  const auto done = [this, pending](bool stored) {
     if (stored) {
-      this->Accept(submit);
+      this->AcceptSubmission(pending);
       return;
     }
-    this->NoteDoubtful(submit->submission.id);
-    this->Refuse(submit->exchange, 504, submit->submission.id,
+    this->MarkUnresolved(pending->submission.id);
+    this->Refuse(pending->exchange, 504, pending->submission.id,
                  "outcome-unknown");
   };
-  if (this->Relay(submit->submission, false, submit->deadline, done))
+  if (this->RelayToPlanner(pending->submission, false, pending->deadline, done))
     return;
-  // Only what was never sent certainly does not run.
-  if (submit->maybe)
-    this->Refuse(submit->exchange, 504, id, "outcome-unknown");
+  // Only a submission whose row cannot have been stored is reported as refused.
+  if (pending->unresolved)
+    this->Refuse(pending->exchange, 504, id, "outcome-unknown");
   else
-    this->Refuse(submit->exchange, 503, id, "store-unavailable");
+    this->Refuse(pending->exchange, 503, id, "store-unavailable");
 }
 
-bool FleetEntry::Relay(const Submission& submission,
-                       bool cancel,
-                       absl::Time deadline,
-                       std::function<void(bool stored)> done) {
+bool FleetEntry::RelayToPlanner(const Submission& submission,
+                                bool cancel,
+                                absl::Time deadline,
+                                std::function<void(bool stored)> done) {
   const absl::Duration left =
       std::min(deadline - BootClock().Now(), kRelayTimeout);
   if (!this->port->IsConnected() || this->view.store_trouble ||
       left <= absl::ZeroDuration())
     return false;
-  const uint64_t number = this->next_relay++;
-  this->relays[number] = std::move(done);
+  const uint64_t number = this->next_relay_number++;
+  this->pending_relays[number] = std::move(done);
   this->port->Send(StoreRequest{number, submission, cancel});
   this->log->Write(LogLine("store_relayed")
                        .Add("submission", submission.id)
@@ -151,15 +155,16 @@
   auto timer = std::make_shared<boost::asio::steady_timer>(
       this->thread.Context(), absl::ToChronoMicroseconds(left));
   timer->async_wait([this, number, timer](std::error_code error) {
-    auto waiting_relay = this->relays.extract(number);
-    if (!error && !waiting_relay.empty())
-      waiting_relay.mapped()(false);
+    auto pending_relay = this->pending_relays.extract(number);
+    if (!error && !pending_relay.empty())
+      pending_relay.mapped()(false);
   });
   return true;
 }
 
-void FleetEntry::Accept(const std::shared_ptr<Submit>& submit) {
-  const Submission& submission = submit->submission;
+void FleetEntry::AcceptSubmission(
+    const std::shared_ptr<PendingSubmission>& pending) {
+  const Submission& submission = pending->submission;
   this->metrics.GetCounter("submissions_accepted_total").Add();
   this->log->Write(LogLine("submission_accepted")
                        .Add("submission", submission.id)
@@ -168,10 +173,10 @@
                        .Add("epoch", this->port->Epoch())
                        .Add("planner_connected", this->port->IsConnected()));
   this->states.emplace(submission.id, SubmissionState::kQueued);
-  this->doubtful.erase(submission.id);
+  this->unresolved_ids.erase(submission.id);
   this->port->Send(AcceptedNotice{submission});
-  this->recent.emplace_back(BootClock().Now(), submission);
-  this->Reply(submit->exchange, 200, "{}");
+  this->recently_accepted.emplace_back(BootClock().Now(), submission);
+  this->Reply(pending->exchange, 200, "{}");
 }
 
 }  // namespace cuminjunction
--- a/daemon/peer_net.cc
+++ b/daemon/peer_net.cc
@@ -17,9 +17,9 @@
 std::string_view ErrorTraits<PeerError>::Message(PeerError error) {
   switch (error) {
     case PeerError::kUnknownTag:
-      return "message of an unknown kind";
+      return "peer message has an unknown type tag";
     case PeerError::kBadAddress:
-      return "address is not an IP number";
+      return "listen address is not a numeric IP address";
   }
   return "unknown peer error";
 }
@@ -35,7 +35,7 @@
 PeerNet::PeerNet(EventThread* thread, Metrics* metrics, Handler handler)
     : thread(thread),
       handler(std::move(handler)),
-      damaged(metrics->GetCounter("peer_messages_damaged_total")),
+      damaged_messages(metrics->GetCounter("peer_messages_damaged_total")),
       acceptor(thread->Context()) {}
 
 Result<uint16_t> PeerNet::Listen(const std::string& host, uint16_t port) {
@@ -71,21 +71,22 @@
 }
 
 std::shared_ptr<FrameLink> PeerNet::MakeLink(tcp::socket socket) {
-  // The handlers are called only while the link is held, so the raw pointer
-  // inside them stays valid.
-  auto slot = std::make_shared<std::weak_ptr<FrameLink>>();
+  // The handlers refer to the link weakly to avoid a cycle. The link calls them
+  // only while it is held, so lock() returns it, and not after Close(), so
+  // `this` stays valid.
+  auto weak_link = std::make_shared<std::weak_ptr<FrameLink>>();
   auto link = std::make_shared<FrameLink>(
       std::move(socket),
       FrameHandlers{.on_open = nullptr,
                     .on_frame =
-                        [this, slot](std::string_view payload) {
-                          return this->OnFrame(slot->lock(), payload);
+                        [this, weak_link](std::string_view payload) {
+                          return this->OnFrame(weak_link->lock(), payload);
                         },
                     .on_closed =
-                        [this, slot](std::error_code /*reason*/) {
-                          this->links.erase(slot->lock());
+                        [this, weak_link](std::error_code /*reason*/) {
+                          this->links.erase(weak_link->lock());
                         }});
-  *slot = link;
+  *weak_link = link;
   this->links.insert(link);
   return link;
 }
@@ -94,7 +95,7 @@
                         std::string_view payload) {
   auto message = DecodePeerMessage(payload);
   if (!message) {
-    this->damaged.Add();
+    this->damaged_messages.Add();
     return message.error();
   }
   this->handler(std::move(message.value()), [link](const PeerMessage& reply) {
--- a/daemon/peer_net.h
+++ b/daemon/peer_net.h
@@ -1,8 +1,9 @@
 #ifndef DAEMON_PEER_NET_H_
 #define DAEMON_PEER_NET_H_
 
-// Framed TCP between processes of the system, for what is neither a request nor
-// a heartbeat: configuration and notices.
+// Framed TCP connections between processes of the system. They carry
+// configuration and notices; requests and heartbeats have their own
+// connections.
 //
 //   PeerNet net(&thread, &metrics, [&](PeerMessage&& message,
 //                                      const PeerReply& reply) {
@@ -10,11 +11,12 @@
 //       for (const ConfigPart& part : node.Answer(*request)) reply(part);
 //   });
 //   Result<uint16_t> port = net.Listen("127.0.0.1", 0);
-//   net.Send({"127.0.0.1", 7200}, WorkerNudge{"w1"});
+//   net.Send({"127.0.0.1", 7200}, WorkerChangeNotice{"w1"});
 //
-// A connection is opened with the first message and kept. Messages are lost
-// when it breaks; senders repeat what matters. Damaged bytes close the
-// connection. All calls are made on the event thread.
+// The first message to an address opens a connection, which later messages use
+// again. Delivery is at most once: messages are lost when the connection
+// breaks, and senders repeat those that must arrive. A message that can't be
+// decoded closes the connection. All calls are made on the event thread.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -43,11 +45,11 @@
   static std::string_view Message(PeerError error);
 };
 
-// To a worker's agent: the worker's row has changed.
-struct WorkerNudge {
+// Sent to a worker's agent when the worker's row has changed.
+struct WorkerChangeNotice {
   std::string worker;
 
-  bool operator==(const WorkerNudge&) const = default;
+  bool operator==(const WorkerChangeNotice&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -55,7 +57,7 @@
   }
 };
 
-// To an upstream's agent: an operator drains it.
+// Sent to an upstream's agent when an operator drains the upstream.
 struct DrainNotice {
   std::string upstream;
 
@@ -67,8 +69,9 @@
   }
 };
 
-// Tells the version that the sender holds and where to ask it. Repeated until
-// the receiver has told the same version, since a notice may be lost.
+// Announces the sender's configuration version and the address that serves it.
+// Repeated until the receiver has announced the same version, since a notice
+// may be lost.
 struct VersionNotice {
   std::string name;
   std::string host;
@@ -86,8 +89,8 @@
   }
 };
 
-// Between entries: asks which configuration version the agents run that
-// heartbeat to the receiver.
+// Sent between entries: requests the configuration versions of the agents that
+// send their heartbeats to the receiver.
 struct VersionsRequest {
   bool operator==(const VersionsRequest&) const = default;
 
@@ -120,19 +123,20 @@
 
 using PeerMessage = std::variant<ConfigRequest,
                                  ConfigPart,
-                                 WorkerNudge,
+                                 WorkerChangeNotice,
                                  DrainNotice,
                                  VersionsRequest,
                                  VersionsReply,
                                  VersionNotice>;
 
-// The payload of a frame: a tag byte and the message.
+// Returns the payload of a frame: a tag byte, which is the index in the
+// variant, and the message.
 std::string EncodePeerMessage(const PeerMessage& message);
 
 // Fails with CodecError or PeerError::kUnknownTag.
 Result<PeerMessage> DecodePeerMessage(std::string_view payload);
 
-// Sends a message back on the connection that a message came on.
+// Sends a message on the connection on which the handled message arrived.
 using PeerReply = std::function<void(const PeerMessage& message)>;
 
 class PeerNet {
@@ -143,12 +147,15 @@
   // `thread` and `metrics` must outlive this object.
   PeerNet(EventThread* thread, Metrics* metrics, Handler handler);
 
-  // Accepts connections. Returns the port. Fails with the system's error.
+  // Accepts connections at `host`, which must be an IP address, and returns the
+  // port; port 0 lets the system choose one. Fails with PeerError::kBadAddress
+  // or the system's error.
   Result<uint16_t> Listen(const std::string& host, uint16_t port);
 
+  // Sends without confirmation; connects first if needed.
   void Send(const Endpoint& to, const PeerMessage& message);
 
-  // Closes everything.
+  // Stops accepting and closes all connections.
   void Close();
 
  private:
@@ -159,7 +166,7 @@
 
   EventThread* thread;
   Handler handler;
-  Counter& damaged;
+  Counter& damaged_messages;
   boost::asio::ip::tcp::acceptor acceptor;
   std::set<std::shared_ptr<FrameLink>> links;
   std::map<Endpoint, std::weak_ptr<FrameLink>> outgoing;
--- a/daemon/runner_guard.cc
+++ b/daemon/runner_guard.cc
@@ -9,42 +9,44 @@
 
 namespace {
 
-// The runner's clock may be 2% slow: a lease of its clock lasts up to this much
-// longer.
+// The runner's clock may be 2% slow: a lease measured by it lasts longer by up
+// to the inverse of this rate.
 constexpr double kRunnerClockRate = 0.98;
 
-// Share of the remaining grant that is passed on, which leaves room for the
-// rate of the runner's clock and the time of a call.
-constexpr double kPassedOn = 0.95;
+// Share of the remaining grant that is passed on as a lease. The rest covers
+// the rate error of the runner's clock and the duration of a call.
+constexpr double kLeaseShareOfGrant = 0.95;
 
-// How long a call waits for an end. The lease is extended with each call, and
-// pacing looks at the figures of each call.
-constexpr absl::Duration kWait = absl::Milliseconds(900);
-constexpr absl::Duration kPacingWait = absl::Milliseconds(220);
+// How long the runner may delay its answer until a run ends. Each call renews
+// the lease, and pacing takes one sample from each answer, so calls are shorter
+// while filling tasks are paced.
+constexpr absl::Duration kLongPollTimeout = absl::Milliseconds(900);
+constexpr absl::Duration kPacingLongPollTimeout = absl::Milliseconds(220);
 
-// Pause between calls while ends wait for their confirmation, when the runner
-// answers at once.
-constexpr absl::Duration kUnconfirmedPause = absl::Milliseconds(120);
+// Delay between calls while ends are unconfirmed: the runner answers such calls
+// at once.
+constexpr absl::Duration kUnconfirmedDelay = absl::Milliseconds(120);
 
-// Name under which a guard keeps what it knows of its own VM.
+// Name of the guard's own VM in its evidence on pairs and its paces.
 constexpr char kOwnVm[] = "own";
 
-constexpr absl::Duration kRetryPause = absl::Milliseconds(80);
+constexpr absl::Duration kRenewalRetryDelay = absl::Milliseconds(80);
 
-// A runner that has answered nothing for this long gets no longer lease, so
-// that what it runs ends by itself and can start elsewhere. Several calls in a
-// row may be lost while a runner answers only some of them.
-constexpr absl::Duration kLongestSilence = absl::Seconds(3);
+// The lease of a runner that has not answered for this long is not extended, so
+// that its runs expire and can start elsewhere. The limit tolerates several
+// lost calls in a row on a runner that answers only some of them.
+constexpr absl::Duration kMaxSilence = absl::Seconds(3);
 
-// How long a runner may still run after it has said that it ends.
-constexpr absl::Duration kLeaveTime = absl::Milliseconds(500);
+// How long runs may continue after the runner has announced its shutdown.
+constexpr absl::Duration kMaxShutdownTime = absl::Milliseconds(500);
 
-// Figures of the runner cover half a second each, so that two looks overlap by
-// half; with looks half a second apart a load that rises is seen too late.
-constexpr absl::Duration kLookInterval = absl::Milliseconds(230);
+// Each figure of the runner covers half a second, so consecutive samples
+// overlap by half. Samples half a second apart detect a rising load too late.
+constexpr absl::Duration kSampleInterval = absl::Milliseconds(230);
 
-// Added to the fence when the runner has seen a higher one: more than two
-// agents on one VM can start apart, also when the clock is set back.
+// Increment of the fencing token when the runner has seen a higher one. It
+// exceeds the difference between the start times of two agents on one VM, also
+// when the clock is set back.
 constexpr int64_t kFenceStepMs = 60000;
 
 }  // namespace
@@ -60,59 +62,60 @@
       options(options),
       log(log),
       handlers(std::move(handlers)),
-      lapses_total(metrics->GetCounter("runner_lost_total")),
+      lost_total(metrics->GetCounter("runner_lost_total")),
       start_seconds(metrics->GetHistogram("agent_start_seconds")),
-      hold_timer(*context),
+      renewal_timer(*context),
       fence(absl::ToUnixMillis(absl::Now())),
-      // An agent before this one may have given the longest lease just now.
-      lease_end(BootClock().Now() + options.max_lease / kRunnerClockRate) {}
+      // A previous agent on this VM may have sent the longest lease just now.
+      lease_expiry(BootClock().Now() + options.max_lease / kRunnerClockRate) {}
 
 void RunnerGuard::Begin() {
-  this->Hold();
+  this->RenewLease();
 }
 
 void RunnerGuard::Close() {
-  *this->open = false;
-  this->hold_timer.cancel();
+  *this->active = false;
+  this->renewal_timer.cancel();
 }
 
-void RunnerGuard::SetAuthority(absl::Time end) {
-  this->authority = end;
+void RunnerGuard::SetGrantDeadline(absl::Time deadline) {
+  this->grant_deadline = deadline;
 }
 
-void RunnerGuard::After(absl::Duration pause, std::function<void()> action) {
+void RunnerGuard::RunAfter(absl::Duration delay, std::function<void()> action) {
   auto timer = std::make_shared<boost::asio::steady_timer>(
-      *this->context, absl::ToChronoMicroseconds(pause));
-  timer->async_wait([timer, open = this->open,
+      *this->context, absl::ToChronoMicroseconds(delay));
+  timer->async_wait([timer, active = this->active,
                      action = std::move(action)](std::error_code error) {
-    if (!error && *open)
+    if (!error && *active)
       action();
   });
 }
 
-void RunnerGuard::TakeClock(const OrderReply& reply, absl::Time now) {
+void RunnerGuard::RecordClock(const OrderReply& reply, absl::Time now) {
   if (reply.clock_ms == 0)
     return;
   this->clock_ms = reply.clock_ms;
   this->clock_at = now;
 }
 
-std::optional<int64_t> RunnerGuard::LeaseUntilMs(absl::Time now) {
-  const absl::Duration left = this->authority - now;
+std::optional<int64_t> RunnerGuard::NextLeaseExpiryMs(absl::Time now) {
+  const absl::Duration left = this->grant_deadline - now;
   if (this->clock_ms == 0 || left <= absl::ZeroDuration() ||
-      now - this->clock_at > kLongestSilence)
+      now - this->clock_at > kMaxSilence)
     return std::nullopt;
   const absl::Duration lease =
-      std::min(left, this->options.max_lease) * kPassedOn;
-  if (!this->leaving)
-    this->lease_end = std::max(this->lease_end, now + lease / kRunnerClockRate);
-  // The least that the runner's clock can show now, so that the lease does not
-  // last longer than intended.
+      std::min(left, this->options.max_lease) * kLeaseShareOfGrant;
+  if (!this->shutting_down)
+    this->lease_expiry =
+        std::max(this->lease_expiry, now + lease / kRunnerClockRate);
+  // Assumes that the runner's clock has advanced by the least possible time, so
+  // that the lease does not outlast the grant.
   const absl::Duration passed = (now - this->clock_at) * kRunnerClockRate;
   return this->clock_ms + absl::ToInt64Milliseconds(passed + lease);
 }
 
-absl::Duration RunnerGuard::WaitFor() const {
+absl::Duration RunnerGuard::LongPollTimeout() const {
   bool fills = false;
   bool serves = false;
   for (const auto& [task, figure] : this->running) {
@@ -122,146 +125,149 @@
     fills = fills || found->second.fills;
     serves = serves || found->second.latency_objective_ms > 0;
   }
-  return fills && serves ? kPacingWait : kWait;
+  return fills && serves ? kPacingLongPollTimeout : kLongPollTimeout;
 }
 
-void RunnerGuard::HoldAfter(absl::Duration pause) {
-  this->hold_timer.expires_after(absl::ToChronoMicroseconds(pause));
-  // A wait that is over already is not cancelled by Close().
-  this->hold_timer.async_wait([this, open = this->open](std::error_code error) {
-    if (!error && *open)
-      this->Hold();
-  });
+void RunnerGuard::RenewLeaseAfter(absl::Duration delay) {
+  this->renewal_timer.expires_after(absl::ToChronoMicroseconds(delay));
+  // Close() does not cancel a timer that has already expired.
+  this->renewal_timer.async_wait(
+      [this, active = this->active](std::error_code error) {
+        if (!error && *active)
+          this->RenewLease();
+      });
 }
 
-void RunnerGuard::Hold() {
-  if (this->holding)
+void RunnerGuard::RenewLease() {
+  if (this->renewing)
     return;
-  this->holding = true;
+  this->renewing = true;
   const absl::Time now = BootClock().Now();
-  this->hold_sent = now;
-  RunnerHold hold;
-  hold.fence = this->fence;
-  hold.last_confirmed = this->confirmed;
-  const absl::Time lease_before = this->lease_end;
-  hold.lease_until_ms = this->LeaseUntilMs(now);
-  // With ends in the list the runner may answer at once; without contact there
-  // is nothing to wait for.
+  this->renewal_sent_at = now;
+  RunnerHold renewal;
+  renewal.fence = this->fence;
+  renewal.last_confirmed = this->last_confirmed_end;
+  const absl::Time previous_expiry = this->lease_expiry;
+  renewal.lease_until_ms = this->NextLeaseExpiryMs(now);
+  // The runner need not delay its answer while unconfirmed ends are listed, and
+  // must not while it is lost, so that its first answer comes at once.
   if (this->ended.empty() && this->alive)
-    hold.wait_ms = absl::ToInt64Milliseconds(this->WaitFor());
-  this->runner->Hold(hold,
-                     [this, open = this->open, lease_before,
-                      lease_asked = this->lease_end](RunnerReport&& report) {
-                       if (!*open)
-                         return;
-                       this->holding = false;
-                       // The call was not made, and no other one has extended
-                       // the lease since.
-                       if (report.order.result == OrderResult::kNotSent &&
-                           this->lease_end == lease_asked)
-                         this->lease_end = lease_before;
-                       this->OnReport(std::move(report));
-                     });
+    renewal.wait_ms = absl::ToInt64Milliseconds(this->LongPollTimeout());
+  this->runner->Hold(
+      renewal, [this, active = this->active, previous_expiry,
+                requested_expiry = this->lease_expiry](RunnerReport&& report) {
+        if (!*active)
+          return;
+        this->renewing = false;
+        // The call was not sent, and no other call has extended the lease
+        // since.
+        if (report.order.result == OrderResult::kNotSent &&
+            this->lease_expiry == requested_expiry)
+          this->lease_expiry = previous_expiry;
+        this->OnReport(std::move(report));
+      });
 }
 
 void RunnerGuard::OnReport(RunnerReport&& report) {
   const absl::Time now = BootClock().Now();
-  this->TakeClock(report.order, now);
+  this->RecordClock(report.order, now);
   if (report.order.result == OrderResult::kFenced) {
     this->RaiseFence();
-    this->HoldAfter(absl::ZeroDuration());
+    this->RenewLeaseAfter(absl::ZeroDuration());
     return;
   }
   if (report.order.result != OrderResult::kDone) {
-    this->OnSilence(now);
-    this->HoldAfter(kRetryPause);
+    this->CheckLeaseExpiry(now);
+    this->RenewLeaseAfter(kRenewalRetryDelay);
     return;
   }
   if (report.order.born_ms != this->born_ms)
-    this->NewLife(report.order.born_ms);
-  const bool first = !this->known || !this->alive;
-  this->known = true;
+    this->OnNewIncarnation(report.order.born_ms);
+  const bool first_report = !this->runs_known || !this->alive;
+  this->runs_known = true;
   this->alive = true;
-  this->TakeLists(std::move(report), first);
-  if (first)
+  this->UpdateRuns(std::move(report), first_report);
+  if (first_report)
     this->handlers.on_changed();
-  this->StopUncovered(now);
-  this->PaceFillers(now);
-  this->HoldAfter(this->ended.empty() ? absl::ZeroDuration()
-                                      : kUnconfirmedPause);
+  this->StopRunsWithoutGrant(now);
+  this->PaceFillingTasks(now);
+  this->RenewLeaseAfter(this->ended.empty() ? absl::ZeroDuration()
+                                            : kUnconfirmedDelay);
 }
 
-void RunnerGuard::TakeLists(RunnerReport&& report, bool first) {
+void RunnerGuard::UpdateRuns(RunnerReport&& report, bool first_report) {
   const auto before = std::exchange(this->running, {});
   for (RunningFigure& figure : report.running) {
     const TaskRef task = figure.running.task;
     this->running[task] = std::move(figure);
   }
-  std::vector<EndedRun> fresh;
+  std::vector<EndedRun> new_ends;
   this->ended.clear();
   for (EndedRun& end : report.ended) {
-    if (end.number <= this->confirmed)
+    if (end.number <= this->last_confirmed_end)
       continue;
-    if (end.number > this->reported) {
-      this->reported = end.number;
-      fresh.push_back(end);
+    if (end.number > this->last_reported_end) {
+      this->last_reported_end = end.number;
+      new_ends.push_back(end);
       this->descriptions.erase(end.task);
     }
     this->ended.push_back(std::move(end));
   }
-  if (!first)
-    this->StopUnexpected(before);
-  if (!fresh.empty())
-    this->handlers.on_ended(this->born_ms, std::move(fresh));
-  this->SettleStarts();
+  if (!first_report)
+    this->StopUnexpectedRuns(before);
+  if (!new_ends.empty())
+    this->handlers.on_ended(this->born_ms, std::move(new_ends));
+  this->ResolveStarts();
 }
 
-void RunnerGuard::NewLife(int64_t born) {
+void RunnerGuard::OnNewIncarnation(int64_t new_born_ms) {
   if (this->born_ms != 0) {
     this->log->Write(LogLine("runner_restarted", LogLevel::kWarning)
-                         .Add("born_ms", born)
+                         .Add("born_ms", new_born_ms)
                          .Add("previous_born_ms", this->born_ms)
                          .Add("lost_runs", this->running.size()));
   }
-  this->born_ms = born;
-  this->leaving = false;
-  this->reported = 0;
-  this->confirmed = 0;
-  // A whole report follows, so the runner counts as lost until then.
+  this->born_ms = new_born_ms;
+  this->shutting_down = false;
+  this->last_reported_end = 0;
+  this->last_confirmed_end = 0;
+  // The runner counts as lost until the full report that follows.
   this->alive = false;
   const auto pending = std::exchange(this->starting, {});
-  this->LoseAll();
-  // Copies of these orders may reach the new life; it refuses stopped runs.
+  this->ClearRuns();
+  // Copies of the pending orders may reach the new incarnation, which refuses
+  // runs that were stopped.
   for (const auto& [task, start] : pending)
     this->SendStop(task, start.order.run, false);
 }
 
-void RunnerGuard::LoseAll() {
+void RunnerGuard::ClearRuns() {
   this->running.clear();
   this->ended.clear();
   this->starting.clear();
   this->descriptions.clear();
 }
 
-void RunnerGuard::OnSilence(absl::Time now) {
-  if (now < this->lease_end || (this->known && !this->alive))
+void RunnerGuard::CheckLeaseExpiry(absl::Time now) {
+  if (now < this->lease_expiry || (this->runs_known && !this->alive))
     return;
-  // All that ran has lapsed by itself.
+  // Every lease has expired, so the runner has ended its runs by itself.
   this->log->Write(LogLine("runner_lost", LogLevel::kWarning)
                        .Add("born_ms", this->born_ms)
                        .Add("lost_runs", this->running.size())
                        .Add("pending_starts", this->starting.size()));
-  this->lapses_total.Add();
-  this->known = true;
+  this->lost_total.Add();
+  this->runs_known = true;
   this->alive = false;
-  this->LoseAll();
+  this->ClearRuns();
   this->handlers.on_changed();
 }
 
-void RunnerGuard::OnRunnerLeft() {
-  // It ends right after it has said so, and its runs with it.
-  this->lease_end = std::min(this->lease_end, BootClock().Now() + kLeaveTime);
-  this->leaving = true;
+void RunnerGuard::OnRunnerShutdown() {
+  // The runner process exits soon after the announcement, and its runs with it.
+  this->lease_expiry =
+      std::min(this->lease_expiry, BootClock().Now() + kMaxShutdownTime);
+  this->shutting_down = true;
 }
 
 void RunnerGuard::RaiseFence() {
@@ -277,109 +283,116 @@
   for (const auto& [task, start] : this->starting) {
     if (!this->running.contains(task))
       runs.push_back({task, start.order.run, start.order.checkpoint, 0,
-                      start.accepted == absl::InfiniteFuture()});
+                      start.accepted_at == absl::InfiniteFuture()});
   }
   return runs;
 }
 
 void RunnerGuard::Describe(const RunOrder& order) {
-  Known& known_run = this->descriptions[order.task];
-  known_run.fills = order.fills;
-  known_run.latency_objective_ms = order.latency_objective_ms;
-  known_run.image = order.image;
-  known_run.millicores = order.millicores;
+  RunDescription& description = this->descriptions[order.task];
+  description.fills = order.fills;
+  description.latency_objective_ms = order.latency_objective_ms;
+  description.image = order.image;
+  description.millicores = order.millicores;
 }
 
-void RunnerGuard::ConfirmEnds(int64_t born, uint64_t up_to) {
-  if (born != this->born_ms || up_to <= this->confirmed)
+void RunnerGuard::ConfirmEnds(int64_t ends_born_ms, uint64_t last_stored_end) {
+  if (ends_born_ms != this->born_ms ||
+      last_stored_end <= this->last_confirmed_end)
     return;
-  this->confirmed = up_to;
-  std::erase_if(this->ended,
-                [&](const EndedRun& end) { return end.number <= up_to; });
-  if (!this->holding)
-    this->HoldAfter(absl::ZeroDuration());
+  this->last_confirmed_end = last_stored_end;
+  std::erase_if(this->ended, [&](const EndedRun& end) {
+    return end.number <= last_stored_end;
+  });
+  if (!this->renewing)
+    this->RenewLeaseAfter(absl::ZeroDuration());
 }
 
-void RunnerGuard::StopUncovered(absl::Time now) {
-  if (this->authority >= now || this->authority == absl::InfinitePast())
+void RunnerGuard::StopRunsWithoutGrant(absl::Time now) {
+  if (this->grant_deadline >= now ||
+      this->grant_deadline == absl::InfinitePast())
     return;
-  // A suspended VM may wake with a lease of the runner's clock that outlasts
+  // After a suspension of the VM, the lease by the runner's clock may outlast
   // the grant.
   for (const auto& [task, figure] : this->running)
     this->SendStop(task, figure.running.run, false);
 }
 
-std::vector<ServingTail> RunnerGuard::ServingTails(absl::Time now) {
-  std::map<std::string, double> tails;
+std::vector<ServingTail> RunnerGuard::LatencyRatios(absl::Time now) {
+  std::map<std::string, double> ratios;
   for (const auto& [task, figure] : this->running) {
     const auto found = this->descriptions.find(task);
-    // A task that is starting up has no tail yet.
+    // A task that is starting up has no latency figure yet.
     if (found == this->descriptions.end() ||
         found->second.latency_objective_ms <= 0 || figure.figure <= 0)
       continue;
-    double& tail = tails[found->second.image];
-    tail = std::max(
-        tail, figure.figure /
-                  static_cast<double>(found->second.latency_objective_ms));
+    double& ratio = ratios[found->second.image];
+    ratio = std::max(
+        ratio, figure.figure /
+                   static_cast<double>(found->second.latency_objective_ms));
   }
   std::vector<ServingTail> serving;
-  serving.reserve(tails.size());
-  std::map<std::string, absl::Time> still_over;
-  for (const auto& [image, tail] : tails) {
-    ServingTail& served = serving.emplace_back(ServingTail{image, tail});
-    if (tail <= 1)
+  serving.reserve(ratios.size());
+  std::map<std::string, absl::Time> next_over_since;
+  for (const auto& [image, ratio] : ratios) {
+    ServingTail& served_image = serving.emplace_back(ServingTail{image, ratio});
+    if (ratio <= 1)
       continue;
     const auto before = this->over_since.find(image);
-    served.over_since = before == this->over_since.end() ? now : before->second;
-    still_over[image] = served.over_since;
+    served_image.over_since =
+        before == this->over_since.end() ? now : before->second;
+    next_over_since[image] = served_image.over_since;
   }
-  this->over_since = std::move(still_over);
+  this->over_since = std::move(next_over_since);
   return serving;
 }
 
-void RunnerGuard::PaceFillers(absl::Time now) {
-  const std::vector<ServingTail> serving = this->ServingTails(now);
+void RunnerGuard::PaceFillingTasks(absl::Time now) {
+  const std::vector<ServingTail> serving = this->LatencyRatios(now);
   if (serving.empty() || this->processors <= 0)
     return;
-  const auto whole = static_cast<double>(this->processors);
-  // What the filling images use now, and what they would at their full pace.
-  std::map<std::string, double> used;
-  std::map<std::string, double> wanted;
+  const auto vm_millicores = static_cast<double>(this->processors);
+  // Shares of the VM's processors that the filling images use now, and that
+  // they use at full pace.
+  std::map<std::string, double> used_shares;
+  std::map<std::string, double> full_pace_shares;
   for (const auto& [task, figure] : this->running) {
     const auto found = this->descriptions.find(task);
     if (found == this->descriptions.end() || !found->second.fills)
       continue;
-    used[found->second.image] += figure.figure / whole;
-    wanted[found->second.image] +=
-        static_cast<double>(found->second.millicores) / whole;
+    used_shares[found->second.image] += figure.figure / vm_millicores;
+    full_pace_shares[found->second.image] +=
+        static_cast<double>(found->second.millicores) / vm_millicores;
   }
-  FillingLoad filling;
-  FillingLoad full;
-  for (const auto& [image, share] : used) {
-    filling.push_back({image, share});
-    full.push_back({image, wanted[image]});
+  FillingLoad used_load;
+  FillingLoad full_pace_load;
+  for (const auto& [image, share] : used_shares) {
+    used_load.push_back({image, share});
+    full_pace_load.push_back({image, full_pace_shares[image]});
   }
-  if (now >= this->next_look) {
-    this->next_look = now + kLookInterval;
-    for (const ServingTail& tail : serving)
-      this->neighbours.Observe(kOwnVm, tail.image, tail.share, filling, now);
-    this->handlers.on_look(serving, filling);
+  if (now >= this->next_sample) {
+    this->next_sample = now + kSampleInterval;
+    for (const ServingTail& served_image : serving)
+      this->neighbours.Observe(kOwnVm, served_image.image, served_image.share,
+                               used_load, now);
+    this->handlers.on_sample(serving, used_load);
   }
-  if (full.empty())
+  if (full_pace_load.empty())
     return;
-  UpdatePaces(kOwnVm, serving, full, this->neighbours, now, &this->paces);
+  UpdatePaces(kOwnVm, serving, full_pace_load, this->neighbours, now,
+              &this->paces);
   for (const auto& [task, figure] : this->running) {
     const auto found = this->descriptions.find(task);
     if (found == this->descriptions.end() || !found->second.fills)
       continue;
     const int percent = this->paces[found->second.image].percent;
-    if (found->second.percent != percent)
+    if (found->second.pace_percent != percent)
       this->SendPace(task, figure.running.run, percent);
   }
 }
 
 void RunnerGuard::SendPace(const TaskRef& task, uint32_t run, int percent) {
-  this->descriptions.at(task).percent = percent;
+  this->descriptions.at(task).pace_percent = percent;
   this->log->Write(LogLine("pace")
                        .Add("submission", task.submission)
                        .Add("step", static_cast<uint64_t>(task.step))
@@ -387,13 +400,14 @@
                        .Add("image", this->descriptions.at(task).image)
                        .Add("percent", percent));
   this->runner->Pace(task, run, percent, this->fence,
-                     [this, open = this->open, task](OrderReply&& reply) {
-                       if (!*open || reply.result == OrderResult::kDone)
+                     [this, active = this->active, task](OrderReply&& reply) {
+                       if (!*active || reply.result == OrderResult::kDone)
                          return;
-                       // Sent again with the next report.
+                       // A value that matches no pace has it sent again after
+                       // the next report.
                        const auto changed = this->descriptions.find(task);
                        if (changed != this->descriptions.end())
-                         changed->second.percent = -1;
+                         changed->second.pace_percent = -1;
                      });
 }
 
--- a/daemon/runner_guard.h
+++ b/daemon/runner_guard.h
@@ -1,19 +1,20 @@
 #ifndef DAEMON_RUNNER_GUARD_H_
 #define DAEMON_RUNNER_GUARD_H_
 
-// An agent's hold on the runner of its VM.
+// Controls the runner on an agent's VM: renews its lease, starts, stops and
+// paces its runs, and reports which runs are active or have ended.
 //
 //   RunnerGuard guard(&context, &runner, options, &log, &metrics, handlers);
 //   guard.Begin();
-//   guard.SetAuthority(end);        // what the planner granted
+//   guard.SetGrantDeadline(deadline);  // from the planner's last ping
 //   guard.Start(order, text);
 //   guard.ConfirmEnds(born_ms, 57);
 //
-// The guard is the only process that orders the runner. It keeps the runner's
-// lease within the planner's grant, repeats orders whose answer was lost until
-// their outcome is certain, and knows what runs. Its fence is the time of its
-// start, raised when the runner has seen a higher one; the guard before it has
-// ended, so there is no race.
+// Only the guard sends orders to the runner. It never extends the runner's
+// lease beyond the planner's grant, and repeats an order whose answer was lost
+// until its outcome is certain. Its fencing token is the wall-clock time of its
+// start in milliseconds, raised when the runner has seen a higher one. The
+// previous guard of the VM has ended by then, so the two do not race.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -37,21 +38,24 @@
 namespace cuminjunction {
 
 struct RunnerGuardHandlers {
-  // The runner's life or what it runs has changed in a way that only a whole
-  // report tells.
+  // The runner's incarnation or its runs have changed in a way that the planner
+  // learns only from a full report.
   std::function<void()> on_changed;
+  // Runs of the incarnation `born_ms` have ended; each end is passed once.
   std::function<void(int64_t born_ms, std::vector<EndedRun>&& ends)> on_ended;
+  // The start of the run was refused by the runner, or abandoned.
   std::function<void(const TaskRef& task, uint32_t run, StartOutcome outcome)>
       on_refused;
   std::function<void(const TaskRef& task)> on_started;
-  // Tails of serving images and what fills beside them, four times a second.
+  // Latency ratios of the serving images and the load of the co-located filling
+  // images, about four times a second.
   std::function<void(const std::vector<ServingTail>& serving,
                      const FillingLoad& filling)>
-      on_look;
+      on_sample;
 };
 
 struct RunnerGuardOptions {
-  // The longest lease that the runner takes.
+  // The longest lease that the runner accepts.
   absl::Duration max_lease;
 };
 
@@ -65,36 +69,47 @@
               Metrics* metrics,
               RunnerGuardHandlers handlers);
 
-  // Starts to watch the runner.
+  // Starts the renewals of the runner's lease.
   void Begin();
 
-  // The runner may run what it runs until then, by the boot clock.
-  void SetAuthority(absl::Time end);
+  // Sets the time, by the boot clock, up to which the planner lets the runner
+  // keep its runs.
+  void SetGrantDeadline(absl::Time deadline);
 
+  // Starts a run. Calls on_refused at once while the runner is lost or the
+  // grant has less than 300 ms left.
   void Start(const RunOrder& order, const std::string& text);
+
   void Stop(const TaskRef& task, uint32_t run);
-  void ConfirmEnds(int64_t born_ms, uint64_t up_to);
 
-  // Tells what a run is, after a restart of the agent.
+  // Ends up to number `last_stored_end` are stored, so the runner may forget
+  // them. Ignored when `ends_born_ms` is not the runner's present incarnation.
+  void ConfirmEnds(int64_t ends_born_ms, uint64_t last_stored_end);
+
+  // Sets the image, size and kind of a run that was started before a restart of
+  // the agent.
   void Describe(const RunOrder& order);
 
-  // Takes what the planner has learned of pairs of images.
-  void Learn(const std::vector<PairEvidence>& pairs) {
+  // Merges the planner's evidence on pairs of images.
+  void MergePairs(const std::vector<PairEvidence>& pairs) {
     this->neighbours.Adopt(pairs);
   }
 
-  // What is known of pairs of images.
-  std::vector<PairEvidence> Pairs() const { return this->neighbours.Export(); }
+  // The guard's own evidence on pairs of images together with the merged one.
+  std::vector<PairEvidence> ExportPairs() const {
+    return this->neighbours.Export();
+  }
 
-  // Processors of the VM, in thousandths of a core.
+  // Sets the processor capacity of the VM, in thousandths of a core.
   void SetProcessors(int64_t millicores) { this->processors = millicores; }
 
-  // The runner has said that it ends.
-  void OnRunnerLeft();
+  // Handles the runner's announcement that it is shutting down.
+  void OnRunnerShutdown();
 
-  // True once it is certain what runs.
-  bool IsKnown() const { return this->known; }
-  bool IsAlive() const { return this->alive; }
+  // True once the runner has reported its runs, or every lease that an earlier
+  // agent may have given it has expired.
+  bool AreRunsKnown() const { return this->runs_known; }
+  bool IsRunnerAlive() const { return this->alive; }
   int64_t BornMs() const { return this->born_ms; }
   std::vector<ActiveRun> Running() const;
   const std::vector<EndedRun>& Ended() const { return this->ended; }
@@ -105,86 +120,96 @@
   struct PendingStart {
     RunOrder order;
     std::string text;
-    absl::Time ordered;
-    // A try may have been carried out, or may still be.
-    bool maybe = false;
-    // The run is to be given up: it is stopped until that is certain.
-    std::optional<StartOutcome> abandoned;
-    // When the runner confirmed the start. The start stays here until a list
-    // that was asked for later tells of the run.
-    absl::Time accepted = absl::InfiniteFuture();
+    absl::Time ordered_at;
+    // The answer to an attempt was lost: the runner may have started the run,
+    // or may still do so.
+    bool unresolved = false;
+    // Set when the start is abandoned: the outcome to report once it is certain
+    // that the run is stopped.
+    std::optional<StartOutcome> abandon_outcome;
+    // When the runner confirmed the start. The start stays pending until a
+    // report that was requested later lists the run.
+    absl::Time accepted_at = absl::InfiniteFuture();
   };
-  struct Known {
+  struct RunDescription {
     bool fills = false;
     int64_t latency_objective_ms = 0;
     std::string image;
     int64_t millicores = 0;
-    int percent = 100;
+    int pace_percent = 100;
   };
 
-  void Hold();
-  void HoldAfter(absl::Duration pause);
+  void RenewLease();
+  void RenewLeaseAfter(absl::Duration delay);
   void OnReport(RunnerReport&& report);
-  void TakeLists(RunnerReport&& report, bool first);
-  void StopUnexpected(const std::map<TaskRef, RunningFigure>& before);
-  void SettleStarts();
-  void OnSilence(absl::Time now);
-  void NewLife(int64_t born);
-  void LoseAll();
-  void TakeClock(const OrderReply& reply, absl::Time now);
-  std::optional<int64_t> LeaseUntilMs(absl::Time now);
-  absl::Duration WaitFor() const;
-  void TryStart(const TaskRef& task);
+  void UpdateRuns(RunnerReport&& report, bool first_report);
+  void StopUnexpectedRuns(const std::map<TaskRef, RunningFigure>& before);
+  void ResolveStarts();
+  void CheckLeaseExpiry(absl::Time now);
+  void OnNewIncarnation(int64_t new_born_ms);
+  void ClearRuns();
+  void RecordClock(const OrderReply& reply, absl::Time now);
+  // Returns the expiry, on the runner's clock, of the longest lease that the
+  // grant allows, and moves `lease_expiry` accordingly. Returns no value when
+  // the grant has expired or the runner has not answered for too long.
+  std::optional<int64_t> NextLeaseExpiryMs(absl::Time now);
+  absl::Duration LongPollTimeout() const;
+  void SendStart(const TaskRef& task);
   void OnStartReply(const TaskRef& task, uint32_t run, const OrderReply& reply);
   void RetryStart(const TaskRef& task, uint32_t run);
-  void GiveUp(const TaskRef& task, StartOutcome outcome);
-  void SendStop(const TaskRef& task, uint32_t run, bool report);
+  void AbandonStart(const TaskRef& task, StartOutcome outcome);
+  // Repeats the stop until the runner has answered. With `resolve_start` the
+  // pending start of the run is then resolved by the next report.
+  void SendStop(const TaskRef& task, uint32_t run, bool resolve_start);
   void RaiseFence();
-  void StopUncovered(absl::Time now);
-  // The largest tail of each serving image; notes since when it is over its
-  // limit.
-  std::vector<ServingTail> ServingTails(absl::Time now);
-  void PaceFillers(absl::Time now);
+  void StopRunsWithoutGrant(absl::Time now);
+  // Returns the largest latency ratio of each serving image, and updates
+  // `over_since`.
+  std::vector<ServingTail> LatencyRatios(absl::Time now);
+  void PaceFillingTasks(absl::Time now);
   void SendPace(const TaskRef& task, uint32_t run, int percent);
-  void After(absl::Duration pause, std::function<void()> action);
+  void RunAfter(absl::Duration delay, std::function<void()> action);
 
   boost::asio::io_context* context;
   Runner* runner;
   RunnerGuardOptions options;
   Log* log;
   RunnerGuardHandlers handlers;
-  Counter& lapses_total;
-  // From the planner's order until the runner has taken the start.
+  Counter& lost_total;
+  // Time from the planner's order to the runner's confirmation of the start.
   Histogram& start_seconds;
-  boost::asio::steady_timer hold_timer;
-  std::shared_ptr<bool> open = std::make_shared<bool>(true);
+  boost::asio::steady_timer renewal_timer;
+  // False after Close(). Pending callbacks check it before they use this
+  // object.
+  std::shared_ptr<bool> active = std::make_shared<bool>(true);
   int64_t fence;
-  bool known = false;
+  bool runs_known = false;
   bool alive = false;
-  bool holding = false;
-  // The runner has said that it ends.
-  bool leaving = false;
-  absl::Time hold_sent;
+  bool renewing = false;
+  // The runner has announced its shutdown.
+  bool shutting_down = false;
+  absl::Time renewal_sent_at;
   int64_t born_ms = 0;
-  // The runner's clock, and when it was read, which is also when it last
-  // answered.
+  // The runner's clock in its last answer, and the time of that answer.
   int64_t clock_ms = 0;
   absl::Time clock_at = absl::InfinitePast();
-  absl::Time authority = absl::InfinitePast();
-  // When the longest lease that was given has passed for certain.
-  absl::Time lease_end;
-  uint64_t reported = 0;
-  uint64_t confirmed = 0;
+  absl::Time grant_deadline = absl::InfinitePast();
+  // Time by which every lease that was sent has expired for certain.
+  absl::Time lease_expiry;
+  // Highest number of an end that was passed to on_ended.
+  uint64_t last_reported_end = 0;
+  uint64_t last_confirmed_end = 0;
   std::map<TaskRef, RunningFigure> running;
   std::vector<EndedRun> ended;
   std::map<TaskRef, PendingStart> starting;
-  std::map<TaskRef, Known> descriptions;
+  std::map<TaskRef, RunDescription> descriptions;
   Neighbours neighbours;
   std::map<std::string, Pace> paces;
-  // Since when a serving image has been over its limit.
+  // Start of the period in which the latency ratio of a serving image has been
+  // above 1; images at or below 1 have no entry.
   std::map<std::string, absl::Time> over_since;
   int64_t processors = 0;
-  absl::Time next_look = absl::InfinitePast();
+  absl::Time next_sample = absl::InfinitePast();
 };
 
 }  // namespace cuminjunction
--- a/daemon/runner_guard_starts.cc
+++ b/daemon/runner_guard_starts.cc
@@ -1,4 +1,5 @@
-// How a guard starts and stops runs until the outcome is certain.
+// RunnerGuard: starts and stops runs, and repeats each order until its outcome
+// is certain.
 
 #include <algorithm>
 #include <utility>
@@ -10,15 +11,15 @@
 
 namespace {
 
-// Grants with less left than this are not used for new tasks.
-constexpr absl::Duration kMinAuthority = absl::Milliseconds(300);
+// No run is started when the grant has less time left than this.
+constexpr absl::Duration kMinGrantLeft = absl::Milliseconds(300);
 
-// Pause before an order whose answer was lost is sent again.
-constexpr absl::Duration kOrderRetryPause = absl::Milliseconds(80);
+// Delay before an order whose answer was lost is sent again.
+constexpr absl::Duration kOrderRetryDelay = absl::Milliseconds(80);
 
 }  // namespace
 
-void RunnerGuard::StopUnexpected(
+void RunnerGuard::StopUnexpectedRuns(
     const std::map<TaskRef, RunningFigure>& before) {
   for (const auto& [task, figure] : this->running) {
     const uint32_t run = figure.running.run;
@@ -27,7 +28,7 @@
     if ((old != before.end() && old->second.running.run == run) ||
         (pending != this->starting.end() && pending->second.order.run == run))
       continue;
-    // An order that was given up has been carried out after all.
+    // The runner has carried out an order that was abandoned.
     this->log->Write(LogLine("unexpected_run", LogLevel::kWarning)
                          .Add("submission", task.submission)
                          .Add("step", static_cast<uint64_t>(task.step))
@@ -37,8 +38,8 @@
   }
 }
 
-void RunnerGuard::SettleStarts() {
-  std::vector<PendingStart> gone;
+void RunnerGuard::ResolveStarts() {
+  std::vector<PendingStart> not_running;
   for (auto entry = this->starting.begin(); entry != this->starting.end();) {
     const PendingStart& start = entry->second;
     const auto listed = this->running.find(entry->first);
@@ -48,26 +49,28 @@
         this->ended.begin(), this->ended.end(), [&](const EndedRun& end) {
           return end.task == entry->first && end.run == start.order.run;
         });
-    // A list that was asked for before the start may not have it yet.
+    // A report that was requested before the start was confirmed may not list
+    // the run yet.
     if (!runs && !has_ended) {
-      if (start.accepted >= this->hold_sent) {
+      if (start.accepted_at >= this->renewal_sent_at) {
         ++entry;
         continue;
       }
-      gone.push_back(start);
+      not_running.push_back(start);
     }
     entry = this->starting.erase(entry);
   }
-  for (const PendingStart& start : gone) {
+  for (const PendingStart& start : not_running) {
     this->descriptions.erase(start.order.task);
-    this->handlers.on_refused(start.order.task, start.order.run,
-                              start.abandoned.value_or(StartOutcome::kOldRun));
+    this->handlers.on_refused(
+        start.order.task, start.order.run,
+        start.abandon_outcome.value_or(StartOutcome::kOldRun));
   }
 }
 
 void RunnerGuard::Start(const RunOrder& order, const std::string& text) {
   const absl::Time now = BootClock().Now();
-  if (!this->alive || this->authority - now < kMinAuthority) {
+  if (!this->alive || this->grant_deadline - now < kMinGrantLeft) {
     this->handlers.on_refused(order.task, order.run, StartOutcome::kRefused);
     return;
   }
@@ -75,16 +78,16 @@
   PendingStart pending;
   pending.order = order;
   pending.text = text;
-  pending.ordered = now;
+  pending.ordered_at = now;
   this->starting[order.task] = std::move(pending);
-  this->TryStart(order.task);
+  this->SendStart(order.task);
 }
 
-void RunnerGuard::TryStart(const TaskRef& task) {
+void RunnerGuard::SendStart(const TaskRef& task) {
   const PendingStart& pending = this->starting.at(task);
-  const auto until = this->LeaseUntilMs(BootClock().Now());
-  if (!until) {
-    this->GiveUp(task, StartOutcome::kRefused);
+  const auto lease_expiry_ms = this->NextLeaseExpiryMs(BootClock().Now());
+  if (!lease_expiry_ms) {
+    this->AbandonStart(task, StartOutcome::kRefused);
     return;
   }
   RunnerStart start;
@@ -93,41 +96,41 @@
   start.text = pending.text;
   start.checkpoint = pending.order.checkpoint;
   start.ticket = pending.order.ticket;
-  start.lease_until_ms = *until;
+  start.lease_until_ms = *lease_expiry_ms;
   start.fence = this->fence;
-  this->runner->Start(start, [this, open = this->open, task,
+  this->runner->Start(start, [this, active = this->active, task,
                               run = start.run](OrderReply&& reply) {
-    if (*open)
+    if (*active)
       this->OnStartReply(task, run, reply);
   });
 }
 
 void RunnerGuard::RetryStart(const TaskRef& task, uint32_t run) {
-  this->After(kOrderRetryPause, [this, task, run] {
+  this->RunAfter(kOrderRetryDelay, [this, task, run] {
     const auto found = this->starting.find(task);
     if (found != this->starting.end() && found->second.order.run == run)
-      this->TryStart(task);
+      this->SendStart(task);
   });
 }
 
 void RunnerGuard::OnStartReply(const TaskRef& task,
                                uint32_t run,
                                const OrderReply& reply) {
-  this->TakeClock(reply, BootClock().Now());
+  this->RecordClock(reply, BootClock().Now());
   const auto found = this->starting.find(task);
   if (found == this->starting.end() || found->second.order.run != run)
     return;
   PendingStart& pending = found->second;
   switch (reply.result) {
     case OrderResult::kDone:
-      pending.accepted = BootClock().Now();
-      this->start_seconds.Observe(pending.accepted - pending.ordered);
+      pending.accepted_at = BootClock().Now();
+      this->start_seconds.Observe(pending.accepted_at - pending.ordered_at);
       this->handlers.on_started(task);
-      if (pending.abandoned)
+      if (pending.abandon_outcome)
         this->SendStop(task, run, false);
       return;
     case OrderResult::kUnknownOutcome:
-      pending.maybe = true;
+      pending.unresolved = true;
       this->RetryStart(task, run);
       return;
     case OrderResult::kFenced:
@@ -138,30 +141,30 @@
       this->RetryStart(task, run);
       return;
     case OrderResult::kNoRoom:
-      this->GiveUp(task, StartOutcome::kNoRoom);
+      this->AbandonStart(task, StartOutcome::kNoRoom);
       return;
     case OrderResult::kNoTicket:
-      this->GiveUp(task, StartOutcome::kNoTicket);
+      this->AbandonStart(task, StartOutcome::kNoTicket);
       return;
     case OrderResult::kOldRun:
-      // With a lost answer before, the run may have started and ended; the next
-      // list tells.
-      pending.accepted = BootClock().Now();
+      // After a lost answer the run may have started and ended; the next report
+      // shows whether it did.
+      pending.accepted_at = BootClock().Now();
       return;
     default:
-      this->GiveUp(task, StartOutcome::kRefused);
+      this->AbandonStart(task, StartOutcome::kRefused);
       return;
   }
 }
 
-void RunnerGuard::GiveUp(const TaskRef& task, StartOutcome outcome) {
+void RunnerGuard::AbandonStart(const TaskRef& task, StartOutcome outcome) {
   const auto found = this->starting.find(task);
   PendingStart& pending = found->second;
   const uint32_t run = pending.order.run;
-  if (pending.maybe) {
-    // A copy of the order may still be carried out; once the run is stopped the
-    // runner refuses it.
-    pending.abandoned = outcome;
+  if (pending.unresolved) {
+    // The runner may still carry out a copy of the order; it refuses the run
+    // once a stop has reached it.
+    pending.abandon_outcome = outcome;
     this->SendStop(task, run, true);
     return;
   }
@@ -173,36 +176,41 @@
 void RunnerGuard::Stop(const TaskRef& task, uint32_t run) {
   const auto found = this->starting.find(task);
   if (found != this->starting.end() && found->second.order.run == run)
-    found->second.abandoned = StartOutcome::kRefused;
+    found->second.abandon_outcome = StartOutcome::kRefused;
   this->SendStop(task, run, false);
 }
 
-void RunnerGuard::SendStop(const TaskRef& task, uint32_t run, bool report) {
+void RunnerGuard::SendStop(const TaskRef& task,
+                           uint32_t run,
+                           bool resolve_start) {
   this->runner->Stop(
       task, run, this->fence,
-      [this, open = this->open, task, run, report](OrderReply&& reply) {
-        if (!*open)
+      [this, active = this->active, task, run,
+       resolve_start](OrderReply&& reply) {
+        if (!*active)
           return;
-        this->TakeClock(reply, BootClock().Now());
+        this->RecordClock(reply, BootClock().Now());
         if (reply.result == OrderResult::kFenced)
           this->RaiseFence();
-        const bool again = reply.result == OrderResult::kUnknownOutcome ||
-                           reply.result == OrderResult::kNotSent ||
-                           reply.result == OrderResult::kUnhealthy ||
-                           reply.result == OrderResult::kFenced;
-        if (again && this->alive) {
-          this->After(kOrderRetryPause, [this, task, run, report] {
-            this->SendStop(task, run, report);
+        const bool should_retry =
+            reply.result == OrderResult::kUnknownOutcome ||
+            reply.result == OrderResult::kNotSent ||
+            reply.result == OrderResult::kUnhealthy ||
+            reply.result == OrderResult::kFenced;
+        if (should_retry && this->alive) {
+          this->RunAfter(kOrderRetryDelay, [this, task, run, resolve_start] {
+            this->SendStop(task, run, resolve_start);
           });
           return;
         }
-        if (!report)
+        if (!resolve_start)
           return;
         const auto found = this->starting.find(task);
         if (found == this->starting.end() || found->second.order.run != run)
           return;
-        // It may have run before it was stopped; the next list tells.
-        found->second.accepted = BootClock().Now();
+        // The run may have started before the stop; the next report shows
+        // whether it did.
+        found->second.accepted_at = BootClock().Now();
       });
 }
 
--- a/daemon/testing/fleet_fixture.h
+++ b/daemon/testing/fleet_fixture.h
@@ -1,8 +1,9 @@
 #ifndef DAEMON_TESTING_FLEET_FIXTURE_H_
 #define DAEMON_TESTING_FLEET_FIXTURE_H_
 
-// Set-up of the tests that run entries and agents as a whole: a stand-in of the
-// platform's store with a configuration, settings on free ports, and waits.
+// Fixture of the tests that run whole entries and agents: a stand-in of the
+// platform's store that holds a configuration, settings with free ports, and
+// helpers that call an entry and wait for conditions.
 //
 //   TEST_F(FleetTest, ...) {
 //     const Settings settings = this->EntrySettings("entry-1");
@@ -31,8 +32,8 @@
 
 namespace cuminjunction {
 
-// Only keeps a broken system from waiting for ever.
-inline constexpr absl::Duration kLimit = absl::Seconds(60);
+// Ends the waits and calls of a test on a broken system.
+inline constexpr absl::Duration kTestTimeout = absl::Seconds(60);
 inline constexpr char kPolicy[] =
     R"({"version":3,"routes":[{"name":"plans","host":"shop.example",)"
     R"("prefix":"/plans/","service":"line","priority":0,"maxAttempts":2,)"
@@ -64,7 +65,7 @@
     this->store->Put("op", "", "config", kPolicy);
   }
 
-  Settings BaseSettings(const std::string& name) {
+  Settings CommonSettings(const std::string& name) {
     Settings settings;
     settings.name = name;
     settings.region = "region";
@@ -75,7 +76,7 @@
   }
 
   Settings EntrySettings(const std::string& name) {
-    Settings settings = this->BaseSettings(name);
+    Settings settings = this->CommonSettings(name);
     settings.role = Role::kEntry;
     settings.fleet.submissions = {"127.0.0.1", FreePort()};
     settings.fleet.ready = {"127.0.0.1", FreePort()};
@@ -83,13 +84,14 @@
   }
 
   Settings AgentSettings(const std::string& name, const RunnerStandin& runner) {
-    Settings settings = this->BaseSettings(name);
+    Settings settings = this->CommonSettings(name);
     settings.role = Role::kAgent;
     settings.fleet.heartbeats = {"127.0.0.1", FreePort()};
     settings.fleet.runner = runner.Address();
     return settings;
   }
 
+  // Returns a response with status 0 when no answer came.
   HttpResponse Call(const Endpoint& to,
                     const std::string& method,
                     const std::string& path,
@@ -100,12 +102,12 @@
     request.body = body;
     request.headers["Host"] = "shop.example";
     const auto answer = this->client.Send(StrCat("http://", ToString(to)),
-                                          request, absl::Now() + kLimit);
+                                          request, absl::Now() + kTestTimeout);
     return answer ? answer.value() : HttpResponse{0, "", "", {}};
   }
 
-  // A heartbeat of the runner to its agent.
-  int Beat(const Settings& agent, const RunnerStandin& runner) {
+  // Sends a heartbeat of the runner to its agent. Returns the HTTP status.
+  int SendHeartbeat(const Settings& agent, const RunnerStandin& runner) {
     return this
         ->Call(agent.fleet.heartbeats, "POST",
                StrCat("/v1/instances/i-", agent.name, "/heartbeat"),
@@ -116,8 +118,9 @@
         .status;
   }
 
+  // Returns false when the condition is still false after kTestTimeout.
   bool WaitUntil(const std::function<bool()>& condition) {
-    const absl::Time limit = absl::Now() + kLimit;
+    const absl::Time limit = absl::Now() + kTestTimeout;
     while (!condition()) {
       if (absl::Now() > limit)
         return false;
@@ -158,7 +161,7 @@
   std::unique_ptr<StoreStandin> store;
 };
 
-inline constexpr char kId[] = "5c0e7a21d94b36f8";
+inline constexpr char kSubmissionId[] = "5c0e7a21d94b36f8";
 
 }  // namespace cuminjunction
 
--- a/daemon/testing/fleet_log_test.cc
+++ b/daemon/testing/fleet_log_test.cc
@@ -1,5 +1,5 @@
-// What the log of a process says, for the one who has only that: each refusal,
-// each order and end, and each lost dependency has its line.
+// Tests that the log of a process suffices to trace a problem: each refusal,
+// each order and end of a run, and each lost dependency has its own line.
 
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -37,7 +37,7 @@
     std::remove(this->path.c_str());
   }
 
-  // The lines that hold all of these values.
+  // Returns the log lines that contain all these keys with these values.
   std::vector<json> Lines(const json& values) {
     this->file->Flush();
     std::vector<json> found;
@@ -61,9 +61,10 @@
   std::unique_ptr<Log> file;
 };
 
-// Guards against a caller's complaint that can't be traced: a refusal without
-// its line, or without the id, the reason or the configuration that decided.
-TEST_F(FleetLogTest, EachRefusalHasItsLine) {
+// Guards against refusals that can't be traced: one without a log line, or
+// whose line lacks the id, the reason or the version of the deciding
+// configuration.
+TEST_F(FleetLogTest, EachRefusalIsLogged) {
   const Settings settings = this->EntrySettings("entry-1");
   auto entry = FleetEntry::Start(settings, this->file.get());
   ASSERT_TRUE(entry);
@@ -77,7 +78,7 @@
     std::string reason;
     std::string id;
   };
-  const std::string known = StrCat("/plans/", kId);
+  const std::string known = StrCat("/plans/", kSubmissionId);
   const auto check = [&](const Refusal& refusal) {
     EXPECT_EQ(
         this->Call(front, refusal.method, refusal.path, refusal.body).status,
@@ -93,22 +94,23 @@
   };
   check({"POST", "/other/1", "{}", 404, "no-such-queue", "1"});
   check({"POST", "/plans/short", kOneTask, 400, "bad-id", "short"});
-  check({"POST", known, "{", 400, "bad-body", kId});
-  check({"POST", known, std::string(70000, ' '), 413, "body-too-large", kId});
-  check({"GET", known, "", 410, "unknown-submission", kId});
-  check({"DELETE", known, "", 410, "unknown-submission", kId});
-  check({"PUT", known, "", 405, "bad-method", kId});
+  check({"POST", known, "{", 400, "bad-body", kSubmissionId});
+  check({"POST", known, std::string(70000, ' '), 413, "body-too-large",
+         kSubmissionId});
+  check({"GET", known, "", 410, "unknown-submission", kSubmissionId});
+  check({"DELETE", known, "", 410, "unknown-submission", kSubmissionId});
+  check({"PUT", known, "", 405, "bad-method", kSubmissionId});
   this->store->SetRefusing(true);
   ASSERT_TRUE(this->WaitForLine({{"event", "store_lost"}}));
   EXPECT_FALSE(this->Lines({{"event", "store_lost"}})[0]["error"].empty());
-  check({"GET", known, "", 503, "store-unavailable", kId});
+  check({"GET", known, "", 503, "store-unavailable", kSubmissionId});
   this->store->SetRefusing(false);
   EXPECT_TRUE(this->WaitForLine({{"event", "store_regained"}}));
 }
 
-// Guards against a submission that is shown as failed or cancelled and whose
-// runs can't be found by its id.
-TEST_F(FleetLogTest, FailuresAndStopsAreFoundByTheIdOfTheSubmission) {
+// Guards against a failed or cancelled submission whose runs can't be found in
+// the log by the submission's id.
+TEST_F(FleetLogTest, FailuresAndStopsAreLoggedWithTheSubmissionId) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
   runner->FailNext(2);
@@ -116,17 +118,17 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, this->file.get());
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kOneTask));
-  ASSERT_TRUE(this->WaitForState(entry_settings, kId, "failed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kOneTask));
+  ASSERT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "failed"));
   const auto count = [&](const std::string& event, json values) {
     values["event"] = event;
-    values["submission"] = kId;
+    values["submission"] = kSubmissionId;
     return this->Lines(values).size();
   };
   EXPECT_EQ(count("submission_accepted", {{"queue", "plans"}}), 1u);
-  // A start that the runner did not take has its own line.
+  // A start that the runner refused has a line of its own.
   EXPECT_EQ(count("start", {{"vm", "agent-1"}, {"estimate_ms", 50}}),
             2u + count("start_refused", {{"vm", "agent-1"}}));
   EXPECT_EQ(count("end", {{"vm", "agent-1"}, {"how", "failed"}}), 2u);
@@ -149,9 +151,9 @@
                                  {"state", "cancelled"}}));
 }
 
-// Guards against work that stands still for a process that is gone without a
-// line that names it.
-TEST_F(FleetLogTest, EachLostProcessHasItsLine) {
+// Guards against work that stalls on a lost process while no log line names the
+// process.
+TEST_F(FleetLogTest, EachLostProcessIsLogged) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
   const Settings entry_settings = this->EntrySettings("entry-1");
@@ -159,7 +161,7 @@
   auto entry = FleetEntry::Start(entry_settings, this->file.get());
   Log agent_log(this->path);
   auto agent = FleetAgent::Start(agent_settings, &agent_log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitForLine(
       {{"event", "worker_reported"}, {"vm", "agent-1"}, {"alive", true}}));
   runner = nullptr;
--- a/daemon/testing/fleet_test.cc
+++ b/daemon/testing/fleet_test.cc
@@ -1,13 +1,13 @@
-// Entries and agents of the users' platform as a whole, against stand-ins of
-// its store and runners on loopback. Waits end when the awaited state is there;
-// their limit only keeps a broken system from waiting for ever.
+// Tests of whole entries and agents of the users' platform, against stand-ins
+// of its store and runners on loopback. Waits end as soon as the awaited state
+// is reached; their time limit only ends the test on a broken system.
 
 #include "daemon/testing/fleet_fixture.h"
 
 namespace cuminjunction {
 namespace {
 
-TEST_F(FleetTest, ASubmissionRunsToItsEnd) {
+TEST_F(FleetTest, ASubmissionRunsToCompletion) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
   const Settings entry_settings = this->EntrySettings("entry-1");
@@ -16,19 +16,19 @@
   auto agent = FleetAgent::Start(agent_settings, &this->log);
   ASSERT_TRUE(entry);
   ASSERT_TRUE(agent);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->ledger.Starts(), 9);
   EXPECT_EQ(this->ledger.Violations(), 0);
-  // A repetition after the answer stays one submission.
-  EXPECT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
+  // A repeated request after the answer creates no second submission.
+  EXPECT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
   EXPECT_EQ(this->store->CountRows("submission"), 1u);
 }
 
-// Guards against a store that grows without end, and against callers that are
-// told of a submission whose rows are gone.
+// Guards against a store that grows without bound, and against answers that
+// show a submission whose rows have been removed.
 TEST_F(FleetTest, RowsOfEndedSubmissionsAreRemoved) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
@@ -37,7 +37,7 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
   const std::string cancelled = "00000000000000c1";
   ASSERT_TRUE(this->Submit(entry_settings, cancelled, kTwoSteps));
@@ -45,7 +45,7 @@
                        StrCat("/plans/", cancelled))
                 .status,
             200);
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
   EXPECT_TRUE(this->WaitUntil([&] {
     return this->ledger.Starts() >= 9 &&
            this->store->CountRows("submission") == 0 &&
@@ -54,14 +54,14 @@
   }));
   EXPECT_TRUE(this->WaitUntil([&] {
     return this->Call(entry_settings.fleet.submissions, "GET",
-                      StrCat("/plans/", kId))
+                      StrCat("/plans/", kSubmissionId))
                .status == 410;
   }));
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
-// Guards against a takeover that reads the whole of every submission that has
-// ended, and against one that runs them again.
+// Guards against a planner that reads the full text of every ended submission
+// at its takeover, and against one that runs ended submissions again.
 TEST_F(FleetTest, EndedSubmissionsAreSmallAndStayEndedForTheNextPlanner) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
@@ -69,19 +69,19 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
   std::string body = kTwoSteps;
   body.insert(body.find("text"), std::string(3000, 'x'));
-  ASSERT_TRUE(this->Submit(entry_settings, kId, body));
-  ASSERT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, body));
+  ASSERT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->store->CountRows("submission"), 1u);
   EXPECT_LT(this->store->CountBytes("submission"), 100u);
   entry.value() = nullptr;
   entry = FleetEntry::Start(entry_settings, &this->log);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
-  ASSERT_TRUE(this->Submit(entry_settings, kId, body));
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, body));
   // Another submission shows that the new planner has taken over.
   ASSERT_TRUE(this->Submit(entry_settings, "00000000000000d1", kTwoSteps));
   EXPECT_TRUE(
@@ -90,7 +90,7 @@
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
-TEST_F(FleetTest, BadRequestsGetTheirOwnAnswers) {
+TEST_F(FleetTest, BadRequestsGetSpecificStatuses) {
   const Settings settings = this->EntrySettings("entry-1");
   auto entry = FleetEntry::Start(settings, &this->log);
   ASSERT_TRUE(entry);
@@ -98,15 +98,21 @@
   const Endpoint& front = settings.fleet.submissions;
   EXPECT_EQ(this->Call(front, "POST", "/other/1", "{}").status, 404);
   EXPECT_EQ(this->Call(front, "POST", "/plans/short", kTwoSteps).status, 400);
-  EXPECT_EQ(this->Call(front, "POST", StrCat("/plans/", kId), "{").status, 400);
-  EXPECT_EQ(this->Call(front, "GET", StrCat("/plans/", kId)).status, 410);
-  EXPECT_EQ(this->Call(front, "DELETE", StrCat("/plans/", kId)).status, 410);
-  EXPECT_EQ(this->Call(front, "PUT", StrCat("/plans/", kId)).status, 405);
+  EXPECT_EQ(
+      this->Call(front, "POST", StrCat("/plans/", kSubmissionId), "{").status,
+      400);
+  EXPECT_EQ(this->Call(front, "GET", StrCat("/plans/", kSubmissionId)).status,
+            410);
+  EXPECT_EQ(
+      this->Call(front, "DELETE", StrCat("/plans/", kSubmissionId)).status,
+      410);
+  EXPECT_EQ(this->Call(front, "PUT", StrCat("/plans/", kSubmissionId)).status,
+            405);
   EXPECT_EQ(this->store->CountRows("submission"), 0u);
 }
 
-// Guards against starts without a permit on a queue whose placement is
-// restricted, and against tasks that never start since the adviser refused a
+// Guards against starts without the adviser's permit on a queue of restricted
+// placement, and against tasks that never start after the adviser has refused a
 // call.
 TEST_F(FleetTest, ARestrictedQueueRunsOnlyWhereTheAdviserPermits) {
   std::string policy = kPolicy;
@@ -132,54 +138,54 @@
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent_1 = FleetAgent::Start(settings_1, &this->log);
   auto agent_2 = FleetAgent::Start(settings_2, &this->log);
-  ASSERT_EQ(this->Beat(settings_1, *runner_1), 200);
-  ASSERT_EQ(this->Beat(settings_2, *runner_2), 200);
+  ASSERT_EQ(this->SendHeartbeat(settings_1, *runner_1), 200);
+  ASSERT_EQ(this->SendHeartbeat(settings_2, *runner_2), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->ledger.Starts(), 9);
   EXPECT_EQ(this->ledger.Violations(), 0);
   EXPECT_EQ(forbidden.Starts(), 0);
 }
 
-// Guards against a lost reply that is taken for a refusal, or for a conflict
-// with another planner.
-TEST_F(FleetTest, LostRepliesOfTheStoreChangeNothing) {
+// Guards against treating a lost reply of the store as a refusal, or the
+// conflict of the repeated commit as one with another planner.
+TEST_F(FleetTest, LostStoreRepliesCauseNoExtraRun) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
   const Settings entry_settings = this->EntrySettings("entry-1");
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
   this->store->LoseReplies(3);
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
   this->store->LoseReplies(3);
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->ledger.Starts(), 9);
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
-// Guards against a second run when the answer to a start is lost.
-TEST_F(FleetTest, LostRepliesOfTheRunnerChangeNothing) {
+// Guards against a second run of a task when the answer to its start is lost.
+TEST_F(FleetTest, LostRunnerRepliesCauseNoExtraRun) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(300)).value());
   const Settings entry_settings = this->EntrySettings("entry-1");
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
   runner->LoseStartReplies(4);
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->ledger.Starts(), 9);
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
-// The entry that plans dies while tasks run: the other one takes over, adopts
-// what runs, and starts nothing twice.
+// Guards against lost or repeated runs when the planning entry ends while tasks
+// run: another entry takes over, adopts the active runs and starts none twice.
 TEST_F(FleetTest, AnotherEntryTakesOverFromADeadPlanner) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(700)).value());
@@ -188,19 +194,20 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto first = FleetEntry::Start(first_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(first_settings));
-  ASSERT_TRUE(this->Submit(first_settings, kId, kTwoSteps));
+  ASSERT_TRUE(this->Submit(first_settings, kSubmissionId, kTwoSteps));
   ASSERT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() >= 4; }));
   auto second = FleetEntry::Start(second_settings, &this->log);
   ASSERT_TRUE(this->WaitUntilReady(second_settings));
   first.value().reset();
-  EXPECT_TRUE(this->WaitForState(second_settings, kId, "completed"));
+  EXPECT_TRUE(this->WaitForState(second_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->ledger.Starts(), 9);
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
-// Guards against losing, or starting again, what runs while an agent is away.
+// Guards against losing active runs, or starting them again, while their agent
+// restarts.
 TEST_F(FleetTest, ARestartedAgentFindsItsTasksRunning) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(1500)).value());
@@ -208,24 +215,25 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
   ASSERT_TRUE(this->Submit(
-      entry_settings, kId,
+      entry_settings, kSubmissionId,
       R"({"spec":"t","steps":[{"count":2,"cpu":500,"estRuntimeMs":1500}]})"));
   ASSERT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() == 2; }));
   agent.value().reset();
   agent = FleetAgent::Start(agent_settings, &this->log);
   ASSERT_TRUE(agent);
-  this->Beat(agent_settings, *runner);
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  this->SendHeartbeat(agent_settings, *runner);
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   EXPECT_EQ(this->ledger.Starts(), 2);
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
-// While the store refuses everything: new submissions are refused with a time
-// to come back, accepted ones run on and are shown from memory, and nothing is
-// shown as completed that is not stored.
+// Guards against an outage of the store that stops accepted submissions. While
+// the store refuses every call, new submissions are refused with a Retry-After
+// header, accepted ones continue and their state is answered from memory, and
+// none is shown as completed before its completion is stored.
 TEST_F(FleetTest, AnOutageOfTheStoreStopsOnlyNewSubmissions) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
@@ -233,18 +241,18 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
   // A first submission shows that the agent is connected.
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
-  ASSERT_TRUE(this->WaitForState(entry_settings, kId, "completed"));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
+  ASSERT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "completed"));
   const std::string second = "00000000000000b2";
   ASSERT_TRUE(this->Submit(entry_settings, second, kTwoSteps));
   this->store->SetRefusing(true);
   EXPECT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() == 18; }));
   const Endpoint& front = entry_settings.fleet.submissions;
-  // At first the planner may be asked to store a submission, whose outcome is
-  // then unknown; later ones are refused. Each try is a submission of its own.
+  // The first requests may be relayed to the planner, whose outcome is unknown;
+  // later ones are refused. Each attempt uses a new id.
   std::string refused_id;
   int tries = 0;
   EXPECT_TRUE(this->WaitUntil([&] {
@@ -257,15 +265,15 @@
             R"({"state":"running"})");
   this->store->SetRefusing(false);
   EXPECT_TRUE(this->WaitForState(entry_settings, second, "completed"));
-  // What was refused is not stored, so it never runs.
+  // The refused submission is not stored, so it never runs.
   EXPECT_EQ(this->Call(front, "GET", StrCat("/plans/", refused_id)).status,
             410);
   EXPECT_EQ(this->ledger.Violations(), 0);
 }
 
 // Guards against a planner that reads only the first page of a table, at its
-// start and after the store has dropped its history.
-TEST_F(FleetTest, EveryPageIsReadAlsoWhenTheHistoryIsGone) {
+// start or after the store has compacted its change history.
+TEST_F(FleetTest, EveryPageIsReadAlsoAfterCompaction) {
   auto runner = std::move(
       RunnerStandin::Start(&this->ledger, absl::Milliseconds(50)).value());
   this->store->SetPageSize(2);
@@ -287,9 +295,9 @@
     put(StrCat("00000000000000", number));
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   EXPECT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() == 5; }));
-  // Rows of another entry that died before it could tell of them.
+  // Rows of another entry that ended before it notified the planner.
   for (int number = 15; number < 20; ++number)
     put(StrCat("00000000000000", number));
   this->store->Compact();
@@ -304,16 +312,16 @@
   const Settings agent_settings = this->AgentSettings("agent-1", *runner);
   auto entry = FleetEntry::Start(entry_settings, &this->log);
   auto agent = FleetAgent::Start(agent_settings, &this->log);
-  ASSERT_EQ(this->Beat(agent_settings, *runner), 200);
+  ASSERT_EQ(this->SendHeartbeat(agent_settings, *runner), 200);
   ASSERT_TRUE(this->WaitUntilReady(entry_settings));
-  ASSERT_TRUE(this->Submit(entry_settings, kId, kTwoSteps));
+  ASSERT_TRUE(this->Submit(entry_settings, kSubmissionId, kTwoSteps));
   ASSERT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() == 4; }));
   EXPECT_EQ(this->Call(entry_settings.fleet.submissions, "DELETE",
-                       StrCat("/plans/", kId))
+                       StrCat("/plans/", kSubmissionId))
                 .status,
             200);
-  EXPECT_TRUE(this->WaitForState(entry_settings, kId, "cancelled"));
-  // Its room is free again.
+  EXPECT_TRUE(this->WaitForState(entry_settings, kSubmissionId, "cancelled"));
+  // The capacity of the cancelled runs is free again.
   const std::string second = "00000000000000b2";
   ASSERT_TRUE(this->Submit(entry_settings, second, kTwoSteps));
   EXPECT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() == 8; }));
--- a/daemon/testing/runner_guard_test.cc
+++ b/daemon/testing/runner_guard_test.cc
@@ -13,7 +13,7 @@
 namespace cuminjunction {
 namespace {
 
-constexpr absl::Duration kLimit = absl::Seconds(60);
+constexpr absl::Duration kTestTimeout = absl::Seconds(60);
 
 class RunnerGuardTest : public testing::Test {
  protected:
@@ -37,15 +37,16 @@
               .on_refused = [this](const TaskRef&, uint32_t,
                                    StartOutcome) { ++this->refused; },
               .on_started = [this](const TaskRef&) { ++this->started; },
-              .on_look = [](const std::vector<ServingTail>&,
-                            const FillingLoad&) {}});
-      this->guard->SetAuthority(BootClock().Now() + absl::Seconds(60));
+              .on_sample = [](const std::vector<ServingTail>&,
+                              const FillingLoad&) {}});
+      this->guard->SetGrantDeadline(BootClock().Now() + absl::Seconds(60));
       this->guard->Begin();
     });
   }
 
   ~RunnerGuardTest() override {
-    // Destroyed while the loop runs, at a moment when a wait may be over.
+    // Destroys the guard while the event loop runs, when a timer may already
+    // have expired.
     this->thread.Call([this] {
       this->guard->Close();
       this->guard = nullptr;
@@ -56,7 +57,7 @@
 
   template <class Condition>
   bool WaitUntil(const Condition& condition) {
-    const absl::Time limit = absl::Now() + kLimit;
+    const absl::Time limit = absl::Now() + kTestTimeout;
     while (!this->thread.Call(condition)) {
       if (absl::Now() > limit)
         return false;
@@ -77,12 +78,12 @@
   int started = 0;
 };
 
-// Guards against a run that is reported as running and as ended at once: it
-// started and ended while one call waited for an end. A new planner then took
-// it for running and stopped its successor. Seen on lakeshore-pack mix
-// 187928651921 as two runs of one task at a time.
+// Guards against a run that is reported as running and as ended at once,
+// because it started and ended while one call waited for an end. A new planner
+// took it as running and stopped its successor. Seen on lakeshore-pack mix
+// 187928651921 as two concurrent runs of one task.
 TEST_F(RunnerGuardTest, ARunThatEndsWithinOneCallIsNotRunning) {
-  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsAlive(); }));
+  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsRunnerAlive(); }));
   const TaskRef task{"5c0e7a21d94b36f8", 0, 0, 0};
   this->thread.Call([&] {
     RunOrder order;
@@ -100,10 +101,10 @@
   });
 }
 
-TEST_F(RunnerGuardTest, AStartWithoutAuthorityIsRefused) {
-  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsAlive(); }));
+TEST_F(RunnerGuardTest, AStartWithoutAGrantIsRefused) {
+  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsRunnerAlive(); }));
   this->thread.Call([this] {
-    this->guard->SetAuthority(BootClock().Now());
+    this->guard->SetGrantDeadline(BootClock().Now());
     RunOrder order;
     order.task = {"5c0e7a21d94b36f8", 0, 0, 0};
     order.run = 1;
@@ -113,30 +114,31 @@
   EXPECT_EQ(this->ledger.Starts(), 0);
 }
 
-// Guards against work that waits for ever on a runner that crashed for good:
-// each call that could not reach it extended the time for which its runs were
-// taken to last, as long as the planner granted more.
-TEST_F(RunnerGuardTest, ARunnerThatIsGoneIsLostThoughAuthorityGoesOn) {
-  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsAlive(); }));
+// Guards against work that waits forever on a runner that has crashed for good:
+// as long as the planner extended the grant, each call that could not reach the
+// runner moved the assumed expiry of its lease.
+TEST_F(RunnerGuardTest, AnUnreachableRunnerIsLostWhileTheGrantIsExtended) {
+  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsRunnerAlive(); }));
   this->standin = nullptr;
   EXPECT_TRUE(this->WaitUntil([this] {
-    this->guard->SetAuthority(BootClock().Now() + absl::Seconds(60));
-    return !this->guard->IsAlive();
+    this->guard->SetGrantDeadline(BootClock().Now() + absl::Seconds(60));
+    return !this->guard->IsRunnerAlive();
   }));
 }
 
-// The same for a runner whose calls get no answer: each may have reached it.
-TEST_F(RunnerGuardTest, ARunnerThatNeverAnswersIsLostThoughAuthorityGoesOn) {
-  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsAlive(); }));
+// Guards against the same fault on a runner whose answers are all lost: each
+// call may have reached the runner.
+TEST_F(RunnerGuardTest, ASilentRunnerIsLostWhileTheGrantIsExtended) {
+  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsRunnerAlive(); }));
   this->standin->LoseHoldReplies(1000);
   EXPECT_TRUE(this->WaitUntil([this] {
-    this->guard->SetAuthority(BootClock().Now() + absl::Seconds(60));
-    return !this->guard->IsAlive();
+    this->guard->SetGrantDeadline(BootClock().Now() + absl::Seconds(60));
+    return !this->guard->IsRunnerAlive();
   }));
 }
 
-TEST_F(RunnerGuardTest, ConfirmedEndsAreForgotten) {
-  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsAlive(); }));
+TEST_F(RunnerGuardTest, ConfirmedEndsAreRemoved) {
+  ASSERT_TRUE(this->WaitUntil([this] { return this->guard->IsRunnerAlive(); }));
   this->thread.Call([this] {
     RunOrder order;
     order.task = {"5c0e7a21d94b36f8", 0, 0, 0};
@@ -145,7 +147,7 @@
   });
   ASSERT_TRUE(this->WaitUntil([this] { return !this->ends.empty(); }));
   this->thread.Call([this] {
-    // Of another life of the runner: ignored.
+    // A confirmation for another incarnation of the runner is ignored.
     this->guard->ConfirmEnds(this->guard->BornMs() + 1, 1);
     EXPECT_EQ(this->guard->Ended().size(), 1u);
     this->guard->ConfirmEnds(this->guard->BornMs(), 1);
