--- a/daemon/runner_guard.cc
+++ b/daemon/runner_guard.cc
@@ -335,13 +335,13 @@
   serving.reserve(ratios.size());
   std::map<std::string, absl::Time> next_over_since;
   for (const auto& [image, ratio] : ratios) {
-    ServingTail& served_image = serving.emplace_back(ServingTail{image, ratio});
+    ServingTail& image_ratio = serving.emplace_back(ServingTail{image, ratio});
     if (ratio <= 1)
       continue;
     const auto before = this->over_since.find(image);
-    served_image.over_since =
+    image_ratio.over_since =
         before == this->over_since.end() ? now : before->second;
-    next_over_since[image] = served_image.over_since;
+    next_over_since[image] = image_ratio.over_since;
   }
   this->over_since = std::move(next_over_since);
   return serving;
--- a/daemon/runner_guard.h
+++ b/daemon/runner_guard.h
@@ -80,6 +80,7 @@
   // grant has less than 300 ms left.
   void Start(const RunOrder& order, const std::string& text);
 
+  // Stops a run, and abandons its start if that is pending.
   void Stop(const TaskRef& task, uint32_t run);
 
   // Ends up to number `last_stored_end` are stored, so the runner may forget
@@ -109,11 +110,22 @@
   // True once the runner has reported its runs, or every lease that an earlier
   // agent may have given it has expired.
   bool AreRunsKnown() const { return this->runs_known; }
+
+  // False from the expiry of the last lease, or the detection of a new
+  // incarnation, until the next full report of the runner.
   bool IsRunnerAlive() const { return this->alive; }
+
+  // Start of the runner's present incarnation, by the runner; 0 before its
+  // first answer.
   int64_t BornMs() const { return this->born_ms; }
+
+  // The runs that the runner lists, and those whose start is pending.
   std::vector<ActiveRun> Running() const;
+
+  // The ends that are not confirmed.
   const std::vector<EndedRun>& Ended() const { return this->ended; }
 
+  // Ends all timers and callbacks. The runner keeps its present lease.
   void Close();
 
  private:
@@ -139,12 +151,17 @@
     int pace_percent = 100;
   };
 
+  // Sends a call that renews the lease, confirms ends and reads the runs.
   void RenewLease();
   void RenewLeaseAfter(absl::Duration delay);
   void OnReport(RunnerReport&& report);
   void UpdateRuns(RunnerReport&& report, bool first_report);
+  // Stops runs that were neither listed before nor have a pending start.
   void StopUnexpectedRuns(const std::map<TaskRef, RunningFigure>& before);
+  // Removes the pending starts whose outcome the last report shows.
   void ResolveStarts();
+  // Called when a call had no answer: declares the runner lost once every lease
+  // has expired.
   void CheckLeaseExpiry(absl::Time now);
   void OnNewIncarnation(int64_t new_born_ms);
   void ClearRuns();
@@ -153,6 +170,7 @@
   // grant allows, and moves `lease_expiry` accordingly. Returns no value when
   // the grant has expired or the runner has not answered for too long.
   std::optional<int64_t> NextLeaseExpiryMs(absl::Time now);
+  // Returns how long the runner may delay its answer until a run ends.
   absl::Duration LongPollTimeout() const;
   void SendStart(const TaskRef& task);
   void OnStartReply(const TaskRef& task, uint32_t run, const OrderReply& reply);
--- a/daemon/testing/fleet_log_test.cc
+++ b/daemon/testing/fleet_log_test.cc
@@ -78,7 +78,7 @@
     std::string reason;
     std::string id;
   };
-  const std::string known = StrCat("/plans/", kSubmissionId);
+  const std::string submission_path = StrCat("/plans/", kSubmissionId);
   const auto check = [&](const Refusal& refusal) {
     EXPECT_EQ(
         this->Call(front, refusal.method, refusal.path, refusal.body).status,
@@ -94,16 +94,17 @@
   };
   check({"POST", "/other/1", "{}", 404, "no-such-queue", "1"});
   check({"POST", "/plans/short", kOneTask, 400, "bad-id", "short"});
-  check({"POST", known, "{", 400, "bad-body", kSubmissionId});
-  check({"POST", known, std::string(70000, ' '), 413, "body-too-large",
+  check({"POST", submission_path, "{", 400, "bad-body", kSubmissionId});
+  check({"POST", submission_path, std::string(70000, ' '), 413,
+         "body-too-large", kSubmissionId});
+  check({"GET", submission_path, "", 410, "unknown-submission", kSubmissionId});
+  check({"DELETE", submission_path, "", 410, "unknown-submission",
          kSubmissionId});
-  check({"GET", known, "", 410, "unknown-submission", kSubmissionId});
-  check({"DELETE", known, "", 410, "unknown-submission", kSubmissionId});
-  check({"PUT", known, "", 405, "bad-method", kSubmissionId});
+  check({"PUT", submission_path, "", 405, "bad-method", kSubmissionId});
   this->store->SetRefusing(true);
   ASSERT_TRUE(this->WaitForLine({{"event", "store_lost"}}));
   EXPECT_FALSE(this->Lines({{"event", "store_lost"}})[0]["error"].empty());
-  check({"GET", known, "", 503, "store-unavailable", kSubmissionId});
+  check({"GET", submission_path, "", 503, "store-unavailable", kSubmissionId});
   this->store->SetRefusing(false);
   EXPECT_TRUE(this->WaitForLine({{"event", "store_regained"}}));
 }
--- a/daemon/testing/fleet_test.cc
+++ b/daemon/testing/fleet_test.cc
@@ -251,8 +251,8 @@
   this->store->SetRefusing(true);
   EXPECT_TRUE(this->WaitUntil([&] { return this->ledger.Starts() == 18; }));
   const Endpoint& front = entry_settings.fleet.submissions;
-  // The first requests may be relayed to the planner, whose outcome is unknown;
-  // later ones are refused. Each attempt uses a new id.
+  // The first requests may be relayed to the planner, so that their outcome is
+  // unknown; later ones are refused. Each attempt uses a new id.
   std::string refused_id;
   int tries = 0;
   EXPECT_TRUE(this->WaitUntil([&] {
