--- a/daemon/fleet_agent.cc
+++ b/daemon/fleet_agent.cc
@@ -76,7 +76,7 @@
           .on_changed = [this] { this->SendRunnerReport(); },
           .on_ended =
               [this](int64_t born_ms, std::vector<EndedRun>&& ends) {
-                this->port->Send(EndNotices{born_ms, std::move(ends)});
+                this->port->Send(EndedRunsNotice{born_ms, std::move(ends)});
               },
           .on_refused =
               [this](const TaskRef& task, uint32_t run, StartOutcome outcome) {
@@ -88,24 +88,25 @@
           .on_sample =
               [this](const std::vector<ServingLatency>& serving,
                      const FillingLoad& filling) {
-                NeighbourNotice notice;
+                InterferenceSample notice;
                 for (const ServingLatency& tail : serving)
-                  notice.serving.emplace_back(tail.image, tail.ratio);
-                notice.filling = filling;
+                  notice.latency_ratios.emplace_back(tail.image, tail.ratio);
+                notice.filling_load = filling;
                 this->port->Send(notice);
               }});
   this->port = std::make_unique<PlannerPort>(
       &this->thread, this->settings.name, this->log,
       PlannerPortHandlers{
-          .on_planner =
+          .on_planner_connected =
               [this] {
                 this->orders_seen = 0;
                 this->SendRunnerReport();
                 // A planner that took over has no evidence on pairs yet.
-                this->port->Send(PairsNotice{0, this->guard->ExportPairs()});
+                this->port->Send(
+                    InterferenceNotice{0, this->guard->ExportPairs()});
               },
-          .on_lost = [] {},
-          .is_store_lost = nullptr,
+          .on_planner_disconnected = [] {},
+          .is_store_unreachable = nullptr,
           .rules_out_long_grants = nullptr,
           .on_ping = [this](const PlannerPing& ping) { this->OnPing(ping); },
           .on_message =
@@ -187,7 +188,7 @@
 
 void FleetAgent::OnPing(const PlannerPing& ping) {
   if (ping.grant_ms > 0)
-    this->guard->SetGrantDeadline(FromMicros(ping.echoed_stamp_us) +
+    this->guard->SetGrantDeadline(FromMicros(ping.echoed_timestamp_us) +
                                   absl::Milliseconds(ping.grant_ms));
 }
 
@@ -205,9 +206,9 @@
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     for (const StopRun& stop : stops->runs)
       this->guard->Stop(stop.task, stop.run);
-  } else if (const auto* confirm = std::get_if<ConfirmEnds>(&message)) {
-    this->guard->ConfirmEnds(confirm->born_ms, confirm->up_to);
-  } else if (const auto* pairs = std::get_if<PairsNotice>(&message)) {
+  } else if (const auto* confirm = std::get_if<ConfirmEndedRuns>(&message)) {
+    this->guard->ConfirmEnds(confirm->born_ms, confirm->last_number);
+  } else if (const auto* pairs = std::get_if<InterferenceNotice>(&message)) {
     this->guard->MergePairs(pairs->pairs);
   } else if (const auto* request = std::get_if<PermitRequest>(&message)) {
     this->OnPermitRequest(*request);
@@ -242,7 +243,7 @@
   if (!this->guard->AreRunsKnown())
     return;
   WorkerNotice notice;
-  notice.orders_seen = this->orders_seen;
+  notice.last_received_number = this->orders_seen;
   notice.info = this->runner_info;
   // A runner of unknown capacity receives no work yet.
   notice.alive =
@@ -268,7 +269,7 @@
 void FleetAgent::SendRunnerInfo() {
   if (!this->guard->AreRunsKnown())
     return;
-  InfoNotice notice;
+  RunnerInfoNotice notice;
   notice.info = this->runner_info;
   notice.info.born_ms = this->guard->BornMs();
   notice.alive = this->guard->IsRunnerAlive() &&
--- a/daemon/fleet_entry_submit.cc
+++ b/daemon/fleet_entry_submit.cc
@@ -61,7 +61,7 @@
       absl::Milliseconds(CallerPatienceMs(exchange->headers)
                              .value_or(kDefaultCallerTimeoutMs)) -
       kAnswerMargin;
-  if (this->follower->IsStoreLost())
+  if (this->follower->IsStoreUnreachable())
     this->OnStoreUnavailable(pending);
   else
     this->SendSubmit(pending);
@@ -97,7 +97,7 @@
     this->MarkUnresolved(id);
   }
   // The commit is repeated after a lost reply, but not during an outage.
-  if (refused || this->follower->IsStoreLost() ||
+  if (refused || this->follower->IsStoreUnreachable() ||
       BootClock().Now() + kStoreRetryDelay >= pending->deadline) {
     this->OnStoreUnavailable(pending);
     return;
@@ -142,7 +142,7 @@
                                 std::function<void(bool stored)> done) {
   const absl::Duration left =
       std::min(deadline - BootClock().Now(), kRelayTimeout);
-  if (!this->port->IsConnected() || this->view.store_trouble ||
+  if (!this->port->IsConnected() || this->view.commits_failing ||
       left <= absl::ZeroDuration())
     return false;
   const uint64_t number = this->next_relay_number++;
