--- a/bench/interference_bench.cc
+++ b/bench/interference_bench.cc
@@ -308,9 +308,9 @@
   void Deliver() {
     while (!this->reports.empty() &&
            this->reports.front().at + kReportLag <= this->clock.Now()) {
-      if constexpr (RelievingScorer<S>)
-        this->planner.GetScorer()->Report(this->reports.front(),
-                                          this->clock.Now());
+      if constexpr (MitigatingScorer<S>)
+        this->planner.GetScorer()->AddReport(this->reports.front(),
+                                             this->clock.Now());
       this->reports.pop_front();
     }
   }
--- a/daemon/planner_task.cc
+++ b/daemon/planner_task.cc
@@ -47,7 +47,7 @@
       waiting(metrics->GetGauge("planner_waiting_tasks")),
       thread("planner"),
       timer(this->thread.Context()) {
-  this->loop.SetNudge(nudge);
+  this->loop.SetWorkerChangedCallback(nudge);
   this->thread.Start();
   this->thread.Post([this] { this->Tick(); });
 }
--- a/task/batch.h
+++ b/task/batch.h
@@ -1,11 +1,11 @@
 #ifndef TASK_BATCH_H_
 #define TASK_BATCH_H_
 
-// Several decisions that take effect together.
+// Decisions that are committed in one transaction.
 //
 // A batch collects working copies of rows. Each transition (see
-// task/transitions.h) reads the copies, so that a later decision of the batch
-// sees the earlier ones, and a refused transition leaves them unchanged:
+// task/transitions.h) reads the copies, so a later decision of the batch sees
+// the earlier ones. A refused transition leaves the copies unchanged:
 //
 //   Batch batch(&charts, "planner-7/42");
 //   Status placed = Place(task, worker, now, PlaceMode::kNormal, &batch);
@@ -23,7 +23,8 @@
 
 class Batch {
  public:
-  // `charts` must outlive the batch. `transaction` is recorded in each row.
+  // `charts` must outlive the batch. `transaction` is the id of the transaction
+  // and is recorded in each row.
   Batch(const TaskCharts* charts, std::string transaction);
 
   const TaskCharts& Charts() const { return *this->charts; }
@@ -33,7 +34,7 @@
   const WorkerEntry& Current(const WorkerEntry& entry) const;
   const OwnerEntry& Current(const OwnerEntry& entry) const;
 
-  // Sets the row that is to be written. `entry` gives the version expected.
+  // Sets the row to write. The commit expects the version of `entry`.
   void Set(const TaskEntry& entry, TaskRow row);
   void Set(const WorkerEntry& entry, WorkerRow row);
   void Set(const OwnerEntry& entry, OwnerRow row);
@@ -65,11 +66,11 @@
  private:
   const TaskCharts* charts;
   std::string id;
-  // New rows with the version that the old row must have.
+  // New rows, each with the version that the stored row must have.
   std::map<std::string, TaskEntry> tasks;
   std::map<std::string, WorkerEntry> workers;
   std::map<std::string, OwnerEntry> owners;
-  // Task ids with the version that the row must have.
+  // Ids of deleted tasks, each with the version that the stored row must have.
   std::map<std::string, uint64_t> deleted;
 };
 
--- a/task/blame.cc
+++ b/task/blame.cc
@@ -6,167 +6,173 @@
 
 namespace {
 
-// Records are swept for old evidence this often.
-constexpr absl::Duration kForgetEvery = absl::Minutes(1);
-// Keeps the shift in ProbeWait() small; the longest wait is reached before.
-constexpr int kMostDoublings = 16;
+// How often records are searched for old evidence.
+constexpr absl::Duration kSweepInterval = absl::Minutes(1);
+// Keeps the shift in ProbeDelay() small. The maximum delay is reached before.
+constexpr int kMaxDoublings = 16;
 
 }  // namespace
 
-void Blame::Ended(const AttemptOutcome& outcome, absl::Time now) {
-  if (now >= this->next_forget) {
-    this->Forget(now);
-    this->next_forget = now + kForgetEvery;
+void FaultAttribution::RecordOutcome(const AttemptOutcome& outcome,
+                                     absl::Time now) {
+  if (now >= this->next_sweep) {
+    this->DropOldEvidence(now);
+    this->next_sweep = now + kSweepInterval;
   }
   if (outcome.failed)
-    this->Failed(outcome, now);
+    this->RecordFailure(outcome, now);
   else
-    this->Succeeded(outcome, now);
+    this->RecordSuccess(outcome, now);
 }
 
-void Blame::Failed(const AttemptOutcome& outcome, absl::Time now) {
+void FaultAttribution::RecordFailure(const AttemptOutcome& outcome,
+                                     absl::Time now) {
   this->jobs[outcome.owner].failed[outcome.worker] = now;
   WorkerRecord& record = this->workers[outcome.worker];
   record.failed[outcome.owner] = now;
-  // The failure of a job at fault says nothing about a probed worker.
-  if (!record.suspect || this->FailedElsewhere(outcome.owner, outcome.worker))
+  // The failure of a job at fault is no evidence against a probed worker.
+  if (!record.suspect ||
+      this->HasFailedElsewhere(outcome.owner, outcome.worker))
     return;
-  record.good_probes = 0;
+  record.passed_probes = 0;
   ++record.failed_probes;
-  record.next_probe = now + this->ProbeWait(record.failed_probes);
+  record.next_probe = now + this->ProbeDelay(record.failed_probes);
 }
 
-void Blame::Succeeded(const AttemptOutcome& outcome, absl::Time now) {
+void FaultAttribution::RecordSuccess(const AttemptOutcome& outcome,
+                                     absl::Time now) {
   this->jobs.erase(outcome.owner);
   WorkerRecord& record = this->workers[outcome.worker];
   record.last_success = now;
   if (record.suspect) {
-    ++record.good_probes;
+    ++record.passed_probes;
     return;
   }
   record.failed.clear();
-  record.on_trial = false;
+  record.on_probation = false;
   record.failed_probes = 0;
 }
 
-bool Blame::IsSuspect(const std::string& worker) const {
+bool FaultAttribution::IsSuspect(const std::string& worker) const {
   const auto found = this->workers.find(worker);
   return found != this->workers.end() && found->second.suspect;
 }
 
-bool Blame::FailedElsewhere(const std::string& owner,
-                            const std::string& worker) const {
+bool FaultAttribution::HasFailedElsewhere(const std::string& owner,
+                                          const std::string& worker) const {
   const auto found = this->jobs.find(owner);
   if (found == this->jobs.end())
     return false;
-  size_t elsewhere = 0;
+  size_t other_workers = 0;
   for (const auto& [other, time] : found->second.failed)
-    elsewhere += other != worker && !this->IsSuspect(other) ? 1 : 0;
-  return elsewhere + 1 >= this->options.workers_against_job;
+    other_workers += other != worker && !this->IsSuspect(other) ? 1 : 0;
+  return other_workers + 1 >= this->options.workers_to_fault_job;
 }
 
-bool Blame::IsJobAtFault(const std::string& owner) const {
+bool FaultAttribution::IsJobAtFault(const std::string& owner) const {
   const auto found = this->jobs.find(owner);
   if (found == this->jobs.end())
     return false;
   size_t count = 0;
   for (const auto& [worker, time] : found->second.failed)
     count += this->IsSuspect(worker) ? 0 : 1;
-  return count >= this->options.workers_against_job;
+  return count >= this->options.workers_to_fault_job;
 }
 
-size_t Blame::Against(const WorkerRecord& record,
-                      const std::string& worker) const {
+size_t FaultAttribution::CountEvidenceAgainst(const WorkerRecord& record,
+                                              const std::string& worker) const {
   size_t count = 0;
   for (const auto& [owner, time] : record.failed)
-    count += this->FailedElsewhere(owner, worker) ? 0 : 1;
+    count += this->HasFailedElsewhere(owner, worker) ? 0 : 1;
   return count;
 }
 
-bool Blame::IsDoubtful(const std::string& worker) const {
+bool FaultAttribution::HasEvidenceAgainst(const std::string& worker) const {
   const auto found = this->workers.find(worker);
   return found != this->workers.end() &&
-         this->Against(found->second, worker) > 0;
+         this->CountEvidenceAgainst(found->second, worker) > 0;
 }
 
-bool Blame::IsSuspicious(const WorkerRecord& record,
-                         const std::string& worker,
-                         absl::Time now) const {
-  if (record.failed.size() >= this->options.any_jobs_against_worker)
+bool FaultAttribution::ShouldSuspect(const WorkerRecord& record,
+                                     const std::string& worker,
+                                     absl::Time now) const {
+  if (record.failed.size() >= this->options.any_jobs_to_suspect)
     return true;
-  const bool succeeded = record.last_success + this->options.memory > now;
+  const bool succeeded = record.last_success + this->options.retention > now;
   const size_t needed =
-      record.on_trial ? 1
-                      : this->options.jobs_against_worker + (succeeded ? 1 : 0);
-  return this->Against(record, worker) >= needed;
+      record.on_probation
+          ? 1
+          : this->options.good_jobs_to_suspect + (succeeded ? 1 : 0);
+  return this->CountEvidenceAgainst(record, worker) >= needed;
 }
 
-absl::Duration Blame::ProbeWait(int failed_probes) const {
-  const int doublings = std::clamp(failed_probes, 0, kMostDoublings);
+absl::Duration FaultAttribution::ProbeDelay(int failed_probes) const {
+  const int doublings = std::clamp(failed_probes, 0, kMaxDoublings);
   return std::min(
-      this->options.longest_probe,
-      this->options.first_probe *
+      this->options.max_probe_delay,
+      this->options.first_probe_delay *
           static_cast<double>(1U << static_cast<unsigned>(doublings)));
 }
 
-WorkerVerdict Blame::Judge(const WorkerRow& worker, absl::Time now) {
+WorkerVerdict FaultAttribution::Judge(const WorkerRow& worker, absl::Time now) {
   WorkerRecord& record = this->workers[worker.id];
   if (worker.state == WorkerState::kSuspect) {
     if (!record.suspect) {
       record.suspect = true;
-      record.inherited = !this->IsSuspicious(record, worker.id, now);
-      record.unprobed_until = now + this->options.readmit_unprobed;
+      record.suspected_by_predecessor =
+          !this->ShouldSuspect(record, worker.id, now);
+      record.unprobed_deadline = now + this->options.unprobed_readmit_delay;
     }
     return this->JudgeSuspect(worker, now, &record);
   }
   record.suspect = false;
   if (worker.state != WorkerState::kReady ||
-      !this->IsSuspicious(record, worker.id, now))
+      !this->ShouldSuspect(record, worker.id, now))
     return WorkerVerdict::kNone;
   record.suspect = true;
-  record.inherited = false;
-  record.good_probes = 0;
-  record.next_probe = now + this->ProbeWait(record.failed_probes);
-  record.unprobed_until = now + this->options.readmit_unprobed;
+  record.suspected_by_predecessor = false;
+  record.passed_probes = 0;
+  record.next_probe = now + this->ProbeDelay(record.failed_probes);
+  record.unprobed_deadline = now + this->options.unprobed_readmit_delay;
   return WorkerVerdict::kSuspect;
 }
 
-WorkerVerdict Blame::JudgeSuspect(const WorkerRow& worker,
-                                  absl::Time now,
-                                  WorkerRecord* record) {
-  const bool cleared =
-      !record->inherited && !this->IsSuspicious(*record, worker.id, now);
-  const bool probed = record->good_probes >= this->options.probes_to_readmit;
+WorkerVerdict FaultAttribution::JudgeSuspect(const WorkerRow& worker,
+                                             absl::Time now,
+                                             WorkerRecord* record) {
+  const bool cleared = !record->suspected_by_predecessor &&
+                       !this->ShouldSuspect(*record, worker.id, now);
+  const bool probed = record->passed_probes >= this->options.probes_to_readmit;
   const bool idle = worker.assignments.empty();
-  const bool unprobed = idle && now >= record->unprobed_until;
+  const bool unprobed = idle && now >= record->unprobed_deadline;
   if (cleared || probed || unprobed) {
     record->suspect = false;
     record->failed.clear();
-    record->good_probes = 0;
-    record->on_trial = !cleared;
+    record->passed_probes = 0;
+    record->on_probation = !cleared;
     return WorkerVerdict::kReadmit;
   }
   if (!idle || now < record->next_probe)
     return WorkerVerdict::kNone;
-  record->next_probe = now + this->options.probe_retry;
+  record->next_probe = now + this->options.probe_retry_delay;
   return WorkerVerdict::kProbe;
 }
 
-void Blame::Forget(absl::Time now) {
-  const absl::Time oldest = now - this->options.memory;
+void FaultAttribution::DropOldEvidence(absl::Time now) {
+  const absl::Time oldest = now - this->options.retention;
   const auto is_old = [&](const auto& item) { return item.second < oldest; };
   for (auto it = this->jobs.begin(); it != this->jobs.end();) {
     std::erase_if(it->second.failed, is_old);
     it = it->second.failed.empty() ? this->jobs.erase(it) : std::next(it);
   }
-  // What made a worker suspect counts until it is ready again.
+  // The evidence that made a worker suspect is kept until it is readmitted.
   for (auto& [worker, record] : this->workers) {
     if (!record.suspect)
       std::erase_if(record.failed, is_old);
   }
   std::erase_if(this->workers, [&](const auto& item) {
     const WorkerRecord& record = item.second;
-    return !record.suspect && !record.on_trial && record.failed.empty() &&
+    return !record.suspect && !record.on_probation && record.failed.empty() &&
            record.last_success < oldest;
   });
 }
--- a/task/blame.h
+++ b/task/blame.h
@@ -1,21 +1,21 @@
 #ifndef TASK_BLAME_H_
 #define TASK_BLAME_H_
 
-// Tells whether a job or a worker is at fault when attempts fail.
+// Attributes failed attempts to a faulty job or to a faulty worker.
 //
-//   Blame blame((BlameOptions()));
-//   blame.Ended(outcome, now);                 // every attempt that ended
-//   WorkerVerdict verdict = blame.Judge(worker, now);
+//   FaultAttribution attribution((FaultAttributionOptions()));
+//   attribution.RecordOutcome(outcome, now);     // each attempt that ended
+//   WorkerVerdict verdict = attribution.Judge(worker, now);
 //
-// A worker is suspect when several jobs have failed on it since an attempt last
-// succeeded there. A job that has also failed on other workers that are not
-// suspect is itself at fault and no evidence against a worker; its retries and
-// its parking are up to the task's row (see RetryPolicy in
-// task/transitions.h). A suspect worker gets single probes, is ready again when
-// these succeed, and is ready at once when the evidence turns out to be jobs at
-// fault.
+// A worker becomes suspect when several jobs have failed on it since an attempt
+// last succeeded there. A job that has also failed on other workers which are
+// not suspect is itself at fault and is no evidence against a worker. Retrying
+// and parking its tasks depends on the task's row (see RetryPolicy in
+// task/transitions.h). A suspect worker gets one probe task at a time and is
+// readmitted when enough probes succeed. It is readmitted at once when the jobs
+// that failed on it turn out to be at fault.
 //
-// Nothing here is stored. A new planner probes the suspect workers anew.
+// Nothing is stored. A new planner starts probing the suspect workers again.
 
 #include <map>
 #include <set>
@@ -27,85 +27,94 @@
 
 namespace cuminjunction {
 
-struct BlameOptions {
-  // Jobs without a fault of their own that must fail on a worker, one more on a
-  // worker on which some attempt succeeded within the memory.
-  size_t jobs_against_worker = 2;
-  // Jobs that must fail on a worker whether or not they are at fault: when
-  // several workers fail everything, each job fails on more than one of them.
-  size_t any_jobs_against_worker = 6;
-  // Workers on which a job must fail to be at fault.
-  size_t workers_against_job = 2;
-  // Successes in a row that make a suspect worker ready.
+struct FaultAttributionOptions {
+  // Number of jobs that are not at fault which must fail on a worker to make it
+  // suspect. One more is needed on a worker where an attempt succeeded within
+  // the retention.
+  size_t good_jobs_to_suspect = 2;
+  // Number of jobs, at fault or not, which must fail on a worker to make it
+  // suspect. Needed when several workers fail everything: each job then fails
+  // on more than one of them and seems to be at fault.
+  size_t any_jobs_to_suspect = 6;
+  // Number of workers, none of them suspect, on which a job must fail to be at
+  // fault.
+  size_t workers_to_fault_job = 2;
+  // Successful probes in a row that readmit a suspect worker.
   int probes_to_readmit = 2;
-  absl::Duration first_probe = absl::Seconds(20);
-  absl::Duration longest_probe = absl::Minutes(10);
-  // A probe that could not be placed is asked for again.
-  absl::Duration probe_retry = absl::Seconds(5);
-  // A suspect worker without any probe, since no task waited that it can hold,
-  // is ready again after this time; the first failure makes it suspect again.
-  absl::Duration readmit_unprobed = absl::Minutes(15);
-  // How long failures and successes count.
-  absl::Duration memory = absl::Minutes(30);
+  absl::Duration first_probe_delay = absl::Seconds(20);
+  absl::Duration max_probe_delay = absl::Minutes(10);
+  // Delay until another probe is requested when one could not be placed.
+  absl::Duration probe_retry_delay = absl::Seconds(5);
+  // A suspect worker that got no probe, because no task that fits it was
+  // waiting, is readmitted after this time. The first failure makes it suspect
+  // again.
+  absl::Duration unprobed_readmit_delay = absl::Minutes(15);
+  // How long failures and successes count as evidence.
+  absl::Duration retention = absl::Minutes(30);
 };
 
-class Blame {
+class FaultAttribution {
  public:
-  explicit Blame(const BlameOptions& options) : options(options) {}
+  explicit FaultAttribution(const FaultAttributionOptions& options)
+      : options(options) {}
 
-  void Ended(const AttemptOutcome& outcome, absl::Time now);
+  void RecordOutcome(const AttemptOutcome& outcome, absl::Time now);
 
-  // What to do about the worker. A verdict that is not carried out is given
-  // again.
+  // Returns what to do about the worker. A verdict that is not carried out is
+  // returned again by a later call.
   WorkerVerdict Judge(const WorkerRow& worker, absl::Time now);
 
-  // True when the job has failed on several workers without a fault.
+  // True when the job has failed on several workers that are not suspect.
   bool IsJobAtFault(const std::string& owner) const;
 
   // True when a job that is not at fault has failed on the worker since an
   // attempt last succeeded there.
-  bool IsDoubtful(const std::string& worker) const;
+  bool HasEvidenceAgainst(const std::string& worker) const;
 
  private:
   struct WorkerRecord {
-    // Jobs that failed since the last success, with the time of the failure.
+    // Jobs that failed on the worker since the last success there, with the
+    // time of the newest failure.
     std::map<std::string, absl::Time> failed;
     absl::Time last_success = absl::InfinitePast();
     bool suspect = false;
-    // Made ready again a while ago: the first failure counts.
-    bool on_trial = false;
-    // The row was seen as suspect before any evidence was known here.
-    bool inherited = false;
-    int good_probes = 0;
+    // Readmitted without a success since: the first failure makes it suspect.
+    bool on_probation = false;
+    // The row was suspect already while this planner had no evidence for it.
+    bool suspected_by_predecessor = false;
+    int passed_probes = 0;
     absl::Time next_probe = absl::InfinitePast();
-    absl::Time unprobed_until = absl::InfiniteFuture();
-    // Failed probes in a row; the wait doubles with each.
+    absl::Time unprobed_deadline = absl::InfiniteFuture();
+    // Failed probes in a row. The delay before the next probe doubles with
+    // each.
     int failed_probes = 0;
   };
   struct JobRecord {
-    // Workers that it failed on since its last success.
+    // Workers that the job failed on since its last success, with the time of
+    // the newest failure.
     std::map<std::string, absl::Time> failed;
   };
 
-  size_t Against(const WorkerRecord& record, const std::string& worker) const;
-  bool IsSuspicious(const WorkerRecord& record,
-                    const std::string& worker,
-                    absl::Time now) const;
-  bool FailedElsewhere(const std::string& owner,
-                       const std::string& worker) const;
+  size_t CountEvidenceAgainst(const WorkerRecord& record,
+                              const std::string& worker) const;
+  bool ShouldSuspect(const WorkerRecord& record,
+                     const std::string& worker,
+                     absl::Time now) const;
+  bool HasFailedElsewhere(const std::string& owner,
+                          const std::string& worker) const;
   bool IsSuspect(const std::string& worker) const;
-  absl::Duration ProbeWait(int failed_probes) const;
-  void Failed(const AttemptOutcome& outcome, absl::Time now);
-  void Succeeded(const AttemptOutcome& outcome, absl::Time now);
+  absl::Duration ProbeDelay(int failed_probes) const;
+  void RecordFailure(const AttemptOutcome& outcome, absl::Time now);
+  void RecordSuccess(const AttemptOutcome& outcome, absl::Time now);
   WorkerVerdict JudgeSuspect(const WorkerRow& worker,
                              absl::Time now,
                              WorkerRecord* record);
-  void Forget(absl::Time now);
+  void DropOldEvidence(absl::Time now);
 
-  BlameOptions options;
+  FaultAttributionOptions options;
   std::map<std::string, WorkerRecord> workers;
   std::map<std::string, JobRecord> jobs;
-  absl::Time next_forget = absl::InfinitePast();
+  absl::Time next_sweep = absl::InfinitePast();
 };
 
 }  // namespace cuminjunction
--- a/task/expand.cc
+++ b/task/expand.cc
@@ -13,8 +13,9 @@
 
 namespace {
 
-// Tasks created in one transaction; the owner's row is one of its 100 rows.
-constexpr int64_t kMostCreated = 90;
+// Maximum number of tasks created in one transaction, which is limited to 100
+// rows including the owner's.
+constexpr int64_t kMaxTasksCreated = 90;
 
 std::string TaskId(const std::string& name, uint64_t generation, int64_t i) {
   return StrCat(name, ".", generation, ".", i);
@@ -71,8 +72,8 @@
   return crc.checksum();
 }
 
-// True when the task's worker is not being emptied.
-bool IsSettled(const TaskRow& task, const State& state) {
+// True when the task's worker, if it has one, is neither draining nor fenced.
+bool IsOnStayingWorker(const TaskRow& task, const State& state) {
   if (!task.HoldsCapacity())
     return true;
   const WorkerEntry* worker = state.FindWorker(task.worker);
@@ -80,10 +81,10 @@
          worker->row.state != WorkerState::kFenced;
 }
 
-void CancelAll(const OwnerTasks& tasks,
-               const State& state,
-               const std::string& reason,
-               Plan* plan) {
+void CancelAndDeleteAll(const OwnerTasks& tasks,
+                        const State& state,
+                        const std::string& reason,
+                        Plan* plan) {
   const std::vector<std::string> ids(tasks.all.begin(), tasks.all.end());
   for (const std::string& id : ids) {
     const TaskRow& task = state.FindTask(id)->row;
@@ -94,17 +95,17 @@
   }
 }
 
-// Creates `number` tasks of the owner, as many as one transaction holds.
-void Create(const Declaration& declaration,
-            const OwnerEntry& owner,
-            OwnerRow changed,
-            int64_t number,
-            uint64_t config_version,
-            absl::Time now,
-            Plan* plan) {
+// Creates `number` tasks of the owner, or as many as one transaction allows.
+void CreateTasks(const Declaration& declaration,
+                 const OwnerEntry& owner,
+                 OwnerRow changed,
+                 int64_t number,
+                 uint64_t config_version,
+                 absl::Time now,
+                 Plan* plan) {
   std::vector<TaskRow> created;
-  const int64_t most = std::min(number, kMostCreated);
-  for (int64_t i = 0; i < most; ++i) {
+  const int64_t created_count = std::min(number, kMaxTasksCreated);
+  for (int64_t i = 0; i < created_count; ++i) {
     created.push_back(MakeTask(declaration, changed, changed.next_index,
                                config_version, now));
     ++changed.next_index;
@@ -112,12 +113,13 @@
   (void)plan->Expand(owner, changed, created);
 }
 
-// A service's replicas: those that have ended, those on workers that stay, in
-// the order in which to keep them, and those on workers that are emptied.
+// Replicas of a service: those that have ended, those on workers that stay or
+// on none, in the order in which to keep them, and those on workers that are
+// draining or fenced.
 struct Replicas {
-  std::vector<std::string> gone;
-  std::vector<std::string> settled;
-  std::vector<std::string> leaving;
+  std::vector<std::string> ended;
+  std::vector<std::string> staying;
+  std::vector<std::string> on_drained_workers;
   int64_t placed = 0;
 };
 
@@ -126,17 +128,17 @@
   for (const std::string& id : tasks.all) {
     const TaskRow& task = state.FindTask(id)->row;
     if (task.IsFinal()) {
-      out.gone.push_back(id);
+      out.ended.push_back(id);
       continue;
     }
-    if (!IsSettled(task, state)) {
-      out.leaving.push_back(id);
+    if (!IsOnStayingWorker(task, state)) {
+      out.on_drained_workers.push_back(id);
       continue;
     }
-    out.settled.push_back(id);
+    out.staying.push_back(id);
     out.placed += task.IsPlaced() ? 1 : 0;
   }
-  std::sort(out.settled.begin(), out.settled.end(),
+  std::sort(out.staying.begin(), out.staying.end(),
             [&](const std::string& a, const std::string& b) {
               const TaskRow& left = state.FindTask(a)->row;
               const TaskRow& right = state.FindTask(b)->row;
@@ -147,37 +149,37 @@
   return out;
 }
 
-// Cancels replicas that are too many. Those on workers that are being drained
-// go once their replacements are placed.
+// Cancels surplus replicas. Replicas on workers that are being drained are
+// cancelled once their replacements are placed.
 void TrimReplicas(const Declaration& declaration,
                   const Replicas& replicas,
                   const State& state,
                   Plan* plan) {
-  for (const std::string& id : replicas.gone) {
+  for (const std::string& id : replicas.ended) {
     if (!state.FindTask(id)->row.HoldsCapacity())
       (void)plan->Delete(id);
   }
   for (size_t i = static_cast<size_t>(declaration.count);
-       i < replicas.settled.size(); ++i)
-    (void)plan->Cancel(replicas.settled[i], "more replicas than declared");
+       i < replicas.staying.size(); ++i)
+    (void)plan->Cancel(replicas.staying[i], "more replicas than declared");
   if (replicas.placed < declaration.count)
     return;
-  for (const std::string& id : replicas.leaving)
+  for (const std::string& id : replicas.on_drained_workers)
     (void)plan->Cancel(id, "replaced, since its worker is drained");
 }
 
-void CancelBeyond(const Declaration& declaration,
-                  const OwnerTasks& tasks,
-                  uint64_t generation,
-                  const State& state,
-                  Plan* plan) {
+void CancelUndeclared(const Declaration& declaration,
+                      const OwnerTasks& tasks,
+                      uint64_t generation,
+                      const State& state,
+                      Plan* plan) {
   const std::vector<std::string> ids(tasks.all.begin(), tasks.all.end());
   for (const std::string& id : ids) {
     const auto [task_generation, index] = ParseTaskId(id);
-    const bool beyond =
+    const bool is_undeclared =
         task_generation != generation ||
         (declaration.kind != TaskKind::kReplica && index >= declaration.count);
-    if (beyond && !state.FindTask(id)->row.IsFinal())
+    if (is_undeclared && !state.FindTask(id)->row.IsFinal())
       (void)plan->Cancel(id, "no longer declared");
   }
 }
@@ -202,11 +204,12 @@
   }
 }
 
-// Gives up what an operator has stopped, or takes it up again.
-void FollowStop(bool stopped,
-                const OwnerTasks& tasks,
-                const State& state,
-                Plan* plan) {
+// Evicts, cancels or parks the tasks of an owner that an operator has stopped,
+// or retries them after the owner is resumed.
+void ApplyStopRequest(bool stopped,
+                      const OwnerTasks& tasks,
+                      const State& state,
+                      Plan* plan) {
   const std::vector<std::string> ids(tasks.all.begin(), tasks.all.end());
   for (const std::string& id : ids) {
     const TaskRow& task = state.FindTask(id)->row;
@@ -228,11 +231,11 @@
                     const State& state,
                     absl::Time now,
                     Plan* plan) {
-  const OwnerEntry* known = state.FindOwner(declaration.name);
+  const OwnerEntry* existing = state.FindOwner(declaration.name);
   OwnerEntry owner;
   owner.row.name = declaration.name;
-  if (known != nullptr)
-    owner = *known;
+  if (existing != nullptr)
+    owner = *existing;
   OwnerRow changed = owner.row;
   if (owner.row.generation == 0 || owner.row.removed ||
       owner.row.kind != declaration.kind) {
@@ -244,23 +247,23 @@
   changed.config_version = config_version;
   changed.declaration = Checksum(declaration);
   const OwnerTasks& tasks = state.TasksOf(declaration.name);
-  CancelBeyond(declaration, tasks, changed.generation, state, plan);
+  CancelUndeclared(declaration, tasks, changed.generation, state, plan);
   RedeclareWaiting(declaration, config_version, tasks, state, plan);
-  FollowStop(owner.row.stopped, tasks, state, plan);
+  ApplyStopRequest(owner.row.stopped, tasks, state, plan);
   if (owner.row.stopped)
     return;
   int64_t missing = declaration.count - changed.next_index;
   if (declaration.kind == TaskKind::kReplica) {
     const Replicas replicas = FindReplicas(tasks, state);
-    missing = declaration.count - static_cast<int64_t>(replicas.settled.size());
+    missing = declaration.count - static_cast<int64_t>(replicas.staying.size());
     TrimReplicas(declaration, replicas, state, plan);
   }
   // The version is recorded with each change of the declaration, so that a
-  // planner with an older configuration can't take it back.
+  // planner with an older configuration can't revert it.
   if (missing > 0 || changed.generation != owner.row.generation ||
       changed.declaration != owner.row.declaration)
-    Create(declaration, owner, changed, std::max<int64_t>(missing, 0),
-           config_version, now, plan);
+    CreateTasks(declaration, owner, changed, std::max<int64_t>(missing, 0),
+                config_version, now, plan);
 }
 
 }  // namespace
@@ -309,7 +312,8 @@
     changed.config_version = config_version;
     (void)plan->Expand(*owner, changed, {});
   }
-  CancelAll(state.TasksOf(name), state, "removed from the configuration", plan);
+  CancelAndDeleteAll(state.TasksOf(name), state,
+                     "removed from the configuration", plan);
 }
 
 DependencyState CheckDependency(
@@ -322,8 +326,8 @@
   const Declaration& declaration = found->second;
   const OwnerTasks& tasks = state.TasksOf(name);
   if (declaration.kind != TaskKind::kBatch) {
-    const bool up = tasks.placed >= std::min<int64_t>(declaration.count, 1);
-    return up ? DependencyState::kMet : DependencyState::kWaiting;
+    const bool is_up = tasks.placed >= std::min<int64_t>(declaration.count, 1);
+    return is_up ? DependencyState::kMet : DependencyState::kWaiting;
   }
   const OwnerEntry* owner = state.FindOwner(name);
   if (owner == nullptr || owner->row.next_index < declaration.count)
@@ -345,21 +349,22 @@
   const std::set<std::string> ids = found->second;
   for (const std::string& id : ids) {
     const TaskRow& task = state.FindTask(id)->row;
-    DependencyState sum = DependencyState::kMet;
+    DependencyState worst = DependencyState::kMet;
     std::string failed;
     for (const std::string& dependency : task.depends_on) {
-      const DependencyState one = CheckDependency(dependency, declared, state);
-      if (one == DependencyState::kFailed)
+      const DependencyState dependency_state =
+          CheckDependency(dependency, declared, state);
+      if (dependency_state == DependencyState::kFailed)
         failed = dependency;
-      sum = std::max(sum, one);
+      worst = std::max(worst, dependency_state);
     }
-    if (task.state == TaskState::kBlocked && sum == DependencyState::kMet)
+    if (task.state == TaskState::kBlocked && worst == DependencyState::kMet)
       (void)plan->Unblock(id);
     else if (task.state == TaskState::kBlocked &&
-             sum == DependencyState::kFailed)
+             worst == DependencyState::kFailed)
       (void)plan->Park(id, ParkReason::kDependencyFailed,
                        StrCat("dependency ", failed, " failed"));
-    else if (task.state == TaskState::kParked && sum == DependencyState::kMet)
+    else if (task.state == TaskState::kParked && worst == DependencyState::kMet)
       (void)plan->Retry(id);
   }
 }
--- a/task/expand.h
+++ b/task/expand.h
@@ -1,19 +1,21 @@
 #ifndef TASK_EXPAND_H_
 #define TASK_EXPAND_H_
 
-// From the configuration document to task rows.
+// Creates, updates and cancels task rows as the configuration document
+// declares.
 //
 //   std::map<std::string, Declaration> declared = Declarations(document);
 //   ExpandOwner("packing-plan", declared, version, state, now, &plan);
 //   UpdateDependents("packing-plan", declared, state, &plan);
 //
-// Both look at the present picture and take the next steps that lead to what is
-// declared, so that they may run at any time and as often as one likes:
-//   - batch jobs and watchers have tasks <name>.<generation>.<index>, one for
-//     each index below the count; each is created once;
-//   - services have replicas under ever new indexes, as many live ones as
-//     declared, not counting those on workers that are being drained;
-//   - tasks of removed jobs and services are cancelled, and their rows deleted
+// Both functions compare the planner's state with the declarations and add the
+// next steps towards them to the plan. They may run at any time, any number of
+// times:
+//   - A batch job or watcher has one task <name>.<generation>.<index> for each
+//     index below the count. Each is created once.
+//   - A service has as many live replicas as declared, not counting those on
+//     workers that are being drained. Each new replica gets a new index.
+//   - Tasks of removed jobs and services are cancelled. Their rows are deleted
 //     once they hold no capacity.
 // A task that holds capacity keeps its declaration until it ends or is evicted.
 
@@ -28,7 +30,7 @@
 
 namespace cuminjunction {
 
-// A job or a service with replicas, as far as its tasks are concerned.
+// The part of a job's or service's declaration that its tasks depend on.
 struct Declaration {
   std::string name;
   std::string account;
@@ -42,11 +44,12 @@
   bool operator==(const Declaration&) const = default;
 };
 
-// Everything that a document declares. Services whose upstreams run elsewhere
-// have the count 0.
+// All jobs and services of a document by name. Services whose upstreams run
+// outside the fleet have the count 0.
 std::map<std::string, Declaration> Declarations(const Document& document);
 
-// Takes the next steps for one job or service.
+// Adds the next steps for the tasks of one job or service to the plan. Does
+// nothing when its row is of a newer configuration version.
 void ExpandOwner(const std::string& name,
                  const std::map<std::string, Declaration>& declared,
                  uint64_t config_version,
@@ -54,11 +57,11 @@
                  absl::Time now,
                  Plan* plan);
 
-// Ordered so that the largest state of all dependencies is that of the task.
+// Ordered so that a task's state is the largest of its dependencies' states.
 enum class DependencyState { kMet, kWaiting, kFailed };
 
-// What a dependency on a job or service amounts to: a batch job must have
-// finished, watchers and replicas must be placed.
+// The state of a dependency on a job or service. It is met when a batch job has
+// finished, or when a watcher or a service has a task placed.
 DependencyState CheckDependency(
     const std::string& name,
     const std::map<std::string, Declaration>& declared,
--- a/task/explain.cc
+++ b/task/explain.cc
@@ -9,19 +9,20 @@
 
 namespace {
 
-std::vector<std::pair<std::string, double>> Parts(const PlacementScore& score) {
+std::vector<std::pair<std::string, double>> ScoreParts(
+    const PlacementScore& score) {
   return {{"total", score.Total()},     {"fit", score.fit},
           {"spread", score.spread},     {"interference", score.interference},
           {"locality", score.locality}, {"moving", score.moving}};
 }
 
-// What the row alone tells.
-std::string FromRow(const TaskRow& task) {
+// An explanation from the task's row alone.
+std::string ExplainRow(const TaskRow& task) {
   switch (task.state) {
     case TaskState::kBlocked:
       return StrCat("waits for ", StrJoin(task.depends_on, ", "));
     case TaskState::kPending:
-      return "waits for its turn and for room";
+      return "waits for its turn and for free capacity";
     case TaskState::kStarting:
     case TaskState::kRunning:
     case TaskState::kResumed:
@@ -32,7 +33,7 @@
       return StrCat("was evicted and waits to resume: ", task.reason);
     case TaskState::kFailed:
       return StrCat("failed ", task.failures,
-                    " times and is tried again: ", task.reason);
+                    " times and is retried: ", task.reason);
     case TaskState::kParked:
       return StrCat("is parked (", ToString(task.park_reason),
                     "): ", task.reason);
@@ -68,25 +69,25 @@
                    nlohmann::ordered_json::error_handler_t::replace);
 }
 
-Explainer::Record& Explainer::Keep(const std::string& task) {
+Explainer::Record& Explainer::RecordFor(const std::string& task) {
   const auto [found, is_new] = this->records.try_emplace(task);
   if (is_new)
-    this->order.push_back(task);
-  if (this->order.size() > this->most) {
-    this->records.erase(this->order.front());
-    this->order.pop_front();
+    this->record_order.push_back(task);
+  if (this->record_order.size() > this->max_records) {
+    this->records.erase(this->record_order.front());
+    this->record_order.pop_front();
   }
   return this->records.at(task);
 }
 
-void Explainer::Placed(const TaskRow& task,
-                       const WorkerRow& worker,
-                       const PlacementScore& score,
-                       size_t candidates,
-                       absl::Time now) {
-  Record& record = this->Keep(task.id);
+void Explainer::RecordPlacement(const TaskRow& task,
+                                const WorkerRow& worker,
+                                const PlacementScore& score,
+                                size_t candidates,
+                                absl::Time now) {
+  Record& record = this->RecordFor(task.id);
   record.why = StrCat("placed on ", worker.id, ", the best of ", candidates,
-                      " workers with room");
+                      " workers with enough free capacity");
   record.decided_us = ToMicros(now);
   record.score = score;
   record.candidates = static_cast<int64_t>(candidates);
@@ -100,15 +101,15 @@
       .Add("urgency", ToString(task.urgency))
       .Add("worker", worker.id)
       .Add("candidates", static_cast<uint64_t>(candidates));
-  for (const auto& [name, value] : Parts(score))
+  for (const auto& [name, value] : ScoreParts(score))
     line.Add(name, value);
   this->log->Write(line);
 }
 
-void Explainer::Waits(const TaskRow& task,
-                      std::string_view reason,
-                      absl::Time now) {
-  Record& record = this->Keep(task.id);
+void Explainer::RecordWait(const TaskRow& task,
+                           std::string_view reason,
+                           absl::Time now) {
+  Record& record = this->RecordFor(task.id);
   if (record.state == TaskState::kPending && record.why == reason)
     return;
   record = {std::string(reason), ToMicros(now), {}, 0, TaskState::kPending};
@@ -117,10 +118,10 @@
         LogLine("wait").Add("task", task.id).Add("reason", reason));
 }
 
-void Explainer::Evicted(const TaskRow& task,
-                        std::string_view reason,
-                        absl::Time now) {
-  this->Keep(task.id) = {
+void Explainer::RecordEviction(const TaskRow& task,
+                               std::string_view reason,
+                               absl::Time now) {
+  this->RecordFor(task.id) = {
       std::string(reason), ToMicros(now), {}, 0, TaskState::kCheckpointing};
   if (this->log != nullptr) {
     this->log->Write(LogLine("evict")
@@ -140,7 +141,7 @@
   out.task = task;
   out.state = ToString(row.state);
   out.worker = row.worker;
-  out.why = FromRow(row);
+  out.why = ExplainRow(row);
   const auto found = this->records.find(task);
   if (found == this->records.end())
     return out;
@@ -154,7 +155,7 @@
   out.why = StrCat(out.why, "; ", record.why);
   out.decided_us = record.decided_us;
   if (row.IsPlaced()) {
-    out.scores = Parts(record.score);
+    out.scores = ScoreParts(record.score);
     out.candidates = record.candidates;
   }
   return out;
--- a/task/explain.h
+++ b/task/explain.h
@@ -1,15 +1,15 @@
 #ifndef TASK_EXPLAIN_H_
 #define TASK_EXPLAIN_H_
 
-// Why a task is where it is.
+// Explains to operators why a task is placed, waiting or evicted.
 //
 //   Explainer explainer(&log);
-//   explainer.Placed(task, worker, score, candidates, now);
+//   explainer.RecordPlacement(task, worker, score, candidates, now);
 //   Result<Explanation> why = explainer.Explain("plan.1.0", state);
 //
-// Each decision is logged as one line with the scores that mattered, and the
-// newest decisions are kept for operators. What is no longer kept, for instance
-// after a planner change, is explained from the rows alone.
+// Each decision is logged as one line with its scores, and the newest decisions
+// are kept in memory. A decision that is not in memory, for instance after
+// another planner has taken over, is explained from the rows alone.
 
 #include <cstdint>
 #include <deque>
@@ -36,7 +36,7 @@
 
 struct Explanation {
   std::string task;
-  // State of the row, and the worker that holds the task if any.
+  // State of the task's row, and its worker if it has one.
   std::string state;
   std::string worker;
   // One sentence for operators.
@@ -55,21 +55,26 @@
 
 class Explainer {
  public:
-  // `log` may be null; `most` decisions are kept.
-  explicit Explainer(Log* log, size_t most = 4096) : log(log), most(most) {}
-
-  void Placed(const TaskRow& task,
-              const WorkerRow& worker,
-              const PlacementScore& score,
-              size_t candidates,
-              absl::Time now);
-
-  // A round could not place the task. Logged when the reason changes.
-  void Waits(const TaskRow& task, std::string_view reason, absl::Time now);
-
-  void Evicted(const TaskRow& task, std::string_view reason, absl::Time now);
-
-  // Fails with kUnknownTask when the picture lacks the task.
+  // `log` may be null. The newest decision about each of up to `max_records`
+  // tasks is kept.
+  explicit Explainer(Log* log, size_t max_records = 4096)
+      : log(log), max_records(max_records) {}
+
+  void RecordPlacement(const TaskRow& task,
+                       const WorkerRow& worker,
+                       const PlacementScore& score,
+                       size_t candidates,
+                       absl::Time now);
+
+  // Records that a round could not place the task. Logged when the reason
+  // changes.
+  void RecordWait(const TaskRow& task, std::string_view reason, absl::Time now);
+
+  void RecordEviction(const TaskRow& task,
+                      std::string_view reason,
+                      absl::Time now);
+
+  // Fails with kUnknownTask when `state` lacks the task.
   Result<Explanation> Explain(const std::string& task,
                               const State& state) const;
 
@@ -82,13 +87,15 @@
     TaskState state = TaskState::kPending;
   };
 
-  Record& Keep(const std::string& task);
+  // The task's record, created if absent; drops the oldest record when there
+  // are too many.
+  Record& RecordFor(const std::string& task);
 
   Log* log;
-  size_t most;
+  size_t max_records;
   std::unordered_map<std::string, Record> records;
   // Tasks with a record, oldest first.
-  std::deque<std::string> order;
+  std::deque<std::string> record_order;
 };
 
 }  // namespace cuminjunction
--- a/task/learned_scorer.cc
+++ b/task/learned_scorer.cc
@@ -9,21 +9,23 @@
 
 namespace {
 
-// A worker on which the last job failed gets no more than it must until an
-// attempt succeeds there: fit and spread together are at most 2.
-constexpr double kDoubtfulPenalty = 2;
-// A service's predicted tail above this share of its target costs, so that load
-// has room to grow, and each growth costs a little.
-constexpr double kTargetShare = 0.7;
-constexpr double kTargetWeight = 3;
+// Places tasks on a worker with an unexplained failure only when no other
+// worker fits, until an attempt succeeds there. Outweighs fit and spread, which
+// are at most 2 together.
+constexpr double kUnexplainedFailurePenalty = 2;
+// A predicted latency ratio above this value is penalized, which leaves
+// headroom for growing load. Each growth has a small penalty of its own.
+constexpr double kComfortableLatencyRatio = 0.7;
+constexpr double kLatencyRatioWeight = 3;
 constexpr double kGrowthWeight = 0.5;
-// A batch task waits for another worker when it is known to add at least so
-// much to a tail that is then above this share of its target.
-constexpr double kLeastGrowth = 0.05;
-constexpr double kRefusedShare = 0.95;
-constexpr double kLeastEvidence = 0.5;
+// A batch task waits for another worker when it adds, with at least this
+// confidence, at least this growth to a tail latency, and the latency ratio is
+// then above this value.
+constexpr double kMinRefusedGrowth = 0.05;
+constexpr double kRefusedLatencyRatio = 0.95;
+constexpr double kMinConfidence = 0.5;
 
-constexpr absl::Duration kForgetEvery = absl::Minutes(10);
+constexpr absl::Duration kSweepInterval = absl::Minutes(10);
 constexpr double kWholePercent = 100;
 constexpr double kMillicoresPerCore = 1000;
 
@@ -42,9 +44,9 @@
   return out;
 }
 
-// What else ran beside a task of a report, by owner.
-std::vector<Exposure> Beside(const UsageReport& report,
-                             const std::string& task) {
+// The exposure to the other tasks of a report, by owner.
+std::vector<Exposure> NeighboursOf(const UsageReport& report,
+                                   const std::string& task) {
   std::map<std::string, double> shares;
   for (const TaskUsage& other : report.tasks) {
     if (other.task != task)
@@ -69,24 +71,25 @@
   return found == this->targets_ms.end() ? 0 : found->second;
 }
 
-void LearnedScorer::Report(const UsageReport& report, absl::Time now) {
+void LearnedScorer::AddReport(const UsageReport& report, absl::Time now) {
   this->usage.Observe(report);
   const int64_t index =
       ToMicros(report.at) / absl::ToInt64Microseconds(this->options.window);
-  Window& window =
+  ReportWindow& window =
       this->windows
-          .try_emplace(index, Window{now + this->options.window_wait, {}})
+          .try_emplace(index,
+                       ReportWindow{now + this->options.window_grace, {}})
           .first->second;
   window.reports.push_back(report);
-  this->Forget(now);
+  this->DropStaleModels(now);
 }
 
-void LearnedScorer::Forget(absl::Time now) {
-  if (now < this->next_forget)
+void LearnedScorer::DropStaleModels(absl::Time now) {
+  if (now < this->next_sweep)
     return;
-  this->next_forget = now + kForgetEvery;
-  this->usage.Forget(now - this->options.memory);
-  this->interference.Forget(now - this->options.memory);
+  this->next_sweep = now + kSweepInterval;
+  this->usage.DropOlderThan(now - this->options.retention);
+  this->interference.DropOlderThan(now - this->options.retention);
 }
 
 double LearnedScorer::ExpectedShare(const TaskRow& task,
@@ -95,28 +98,29 @@
   return ShareOf(expected.millicores, worker.capacity);
 }
 
-LearnedScorer::Mix LearnedScorer::MixOf(const WorkerRow& worker,
-                                        const State& state) const {
-  Mix mix;
+LearnedScorer::WorkerLoad LearnedScorer::LoadOf(const WorkerRow& worker,
+                                                const State& state) const {
+  WorkerLoad load;
   for (const Assignment& assignment : worker.assignments) {
     const TaskEntry* entry = state.FindTask(assignment.task);
     if (entry == nullptr)
       continue;
     const TaskRow& task = entry->row;
-    mix.shares[task.owner] += this->ExpectedShare(task, worker) *
-                              assignment.share_percent / kWholePercent;
+    load.shares[task.owner] += this->ExpectedShare(task, worker) *
+                               assignment.share_percent / kWholePercent;
     if (this->TargetOf(task.owner) > 0)
-      mix.services.push_back(task.owner);
+      load.services.push_back(task.owner);
   }
-  return mix;
+  return load;
 }
 
-double LearnedScorer::RaiseAt(const std::string& service,
-                              const Mix& mix,
-                              double own_share) const {
+double LearnedScorer::GrowthOnWorker(const std::string& service,
+                                     const WorkerLoad& load,
+                                     double own_share) const {
   const double all =
-      this->interference.TotalRaise(service, ToExposures(mix.shares));
-  const double own = this->interference.Raise(service, service) * own_share;
+      this->interference.ExpectedGrowth(service, ToExposures(load.shares));
+  const double own =
+      this->interference.Coefficient(service, service) * own_share;
   return std::max(0.0, all - own);
 }
 
@@ -125,35 +129,39 @@
                                       const State& state,
                                       absl::Time now,
                                       PlacementScore* score) const {
-  const Mix mix = this->MixOf(worker, state);
+  const WorkerLoad load = this->LoadOf(worker, state);
   const double target_ms = this->TargetOf(task.owner);
   if (target_ms > 0) {
-    const double tail_ms = this->interference.Peak(task.owner) *
-                           (1 + this->RaiseAt(task.owner, mix, 0));
+    const double tail_ms = this->interference.PeakBaseline(task.owner) *
+                           (1 + this->GrowthOnWorker(task.owner, load, 0));
     score->interference -=
-        kTargetWeight * std::max(0.0, tail_ms / target_ms - kTargetShare);
+        kLatencyRatioWeight *
+        std::max(0.0, tail_ms / target_ms - kComfortableLatencyRatio);
   }
   const double share = this->ExpectedShare(task, worker);
   const absl::Time since =
       FromMicros(std::max({task.created_us, task.placed_us}));
   const bool may_wait = task.kind == TaskKind::kBatch &&
                         task.urgency != Urgency::kUrgent &&
-                        now < since + this->options.patience;
-  for (const std::string& service : mix.services) {
-    const double adds = this->interference.Raise(service, task.owner) * share;
-    const double own = mix.shares.at(service);
-    const double tail_ms = this->interference.Peak(service) *
-                           (1 + this->RaiseAt(service, mix, own) + adds);
-    const double of_target = tail_ms / this->TargetOf(service);
+                        now < since + this->options.max_batch_wait;
+  for (const std::string& service : load.services) {
+    const double added_growth =
+        this->interference.Coefficient(service, task.owner) * share;
+    const double own = load.shares.at(service);
+    const double tail_ms =
+        this->interference.PeakBaseline(service) *
+        (1 + this->GrowthOnWorker(service, load, own) + added_growth);
+    const double latency_ratio = tail_ms / this->TargetOf(service);
     score->interference -=
-        kTargetWeight * std::max(0.0, of_target - kTargetShare) +
-        kGrowthWeight * adds;
-    const bool known =
-        this->interference.Evidence(service, task.owner) >= kLeastEvidence;
-    const bool too_much =
-        known && adds >= kLeastGrowth && of_target > kRefusedShare;
+        kLatencyRatioWeight *
+            std::max(0.0, latency_ratio - kComfortableLatencyRatio) +
+        kGrowthWeight * added_growth;
+    const bool is_confident =
+        this->interference.Confidence(service, task.owner) >= kMinConfidence;
+    const bool is_refused = is_confident && added_growth >= kMinRefusedGrowth &&
+                            latency_ratio > kRefusedLatencyRatio;
     if (may_wait &&
-        (too_much || this->guard.IsRemembered(service, task.owner, now)))
+        (is_refused || this->guard.IsRemembered(service, task.owner, now)))
       score->allowed = false;
   }
 }
@@ -163,59 +171,61 @@
                                     const State& state,
                                     absl::Time now) const {
   PlacementScore score = this->best_fit.Score(task, worker, state, now);
-  if (this->blame.IsDoubtful(worker.id))
-    score.moving -= kDoubtfulPenalty;
+  if (this->attribution.HasEvidenceAgainst(worker.id))
+    score.moving -= kUnexplainedFailurePenalty;
   if (!this->targets_ms.empty())
     this->ScoreInterference(task, worker, state, now, &score);
   return score;
 }
 
-void LearnedScorer::Ended(const AttemptOutcome& outcome, absl::Time now) {
-  this->blame.Ended(outcome, now);
+void LearnedScorer::RecordOutcome(const AttemptOutcome& outcome,
+                                  absl::Time now) {
+  this->attribution.RecordOutcome(outcome, now);
   this->guard.Ended();
 }
 
-WorkerVerdict LearnedScorer::Blame(const WorkerRow& worker,
-                                   const State& /*state*/,
-                                   absl::Time now) {
-  return this->blame.Judge(worker, now);
+WorkerVerdict LearnedScorer::JudgeWorker(const WorkerRow& worker,
+                                         const State& /*state*/,
+                                         absl::Time now) {
+  return this->attribution.Judge(worker, now);
 }
 
-double LearnedScorer::ShareOrder(const std::string& account,
-                                 const State& state,
-                                 absl::Time now) const {
-  return this->best_fit.ShareOrder(account, state, now);
+double LearnedScorer::FairShareKey(const std::string& account,
+                                   const State& state,
+                                   absl::Time now) const {
+  return this->best_fit.FairShareKey(account, state, now);
 }
 
-void LearnedScorer::Compare(const std::vector<UsageReport>& reports) {
-  std::map<std::string, std::vector<TailSample>> samples;
+void LearnedScorer::UpdateInterference(
+    const std::vector<UsageReport>& reports) {
+  std::map<std::string, std::vector<TailLatencySample>> samples;
   absl::Time newest = absl::InfinitePast();
   for (const UsageReport& report : reports) {
     newest = std::max(newest, report.at);
     for (const TaskUsage& task : report.tasks) {
       if (task.tail_ms > 0 && this->TargetOf(task.owner) > 0) {
         samples[task.owner].push_back(
-            {task.tail_ms, Beside(report, task.task)});
+            {task.tail_ms, NeighboursOf(report, task.task)});
       }
     }
   }
-  for (const auto& [service, of_service] : samples)
-    this->interference.Observe(service, of_service, newest);
+  for (const auto& [service, service_samples] : samples)
+    this->interference.Observe(service, service_samples, newest);
 }
 
-GuardView LearnedScorer::ViewOf(const UsageReport& report,
-                                const WorkerRow& worker,
-                                const State& state,
-                                absl::Time now) const {
+GuardView LearnedScorer::MakeGuardView(const UsageReport& report,
+                                       const WorkerRow& worker,
+                                       const State& state,
+                                       absl::Time now) const {
   GuardView view;
   view.worker = report.worker;
   view.at = report.at;
   for (const TaskUsage& task : report.tasks) {
     if (task.tail_ms > 0 && this->TargetOf(task.owner) > 0) {
-      view.services.push_back({task.owner, task.tail_ms,
-                               this->TargetOf(task.owner),
-                               this->interference.Baseline(task.owner),
-                               this->interference.Usual(task.owner)});
+      view.services.push_back(
+          {task.owner, task.tail_ms, this->TargetOf(task.owner),
+           this->interference.Baseline(task.owner),
+           this->interference.SmoothedBaseline(task.owner)});
     }
   }
   for (const TaskUsage& used : report.tasks) {
@@ -237,26 +247,27 @@
     const double share = ShareOf(used.millicores, worker.capacity);
     for (const GuardedService& service : view.services) {
       neighbour.adds.push_back(
-          share * this->interference.Raise(service.service, used.owner));
+          share * this->interference.Coefficient(service.service, used.owner));
     }
     view.neighbours.push_back(std::move(neighbour));
   }
   return view;
 }
 
-std::vector<GuardAction> LearnedScorer::Relieve(const State& state,
-                                                absl::Time now) {
+std::vector<GuardAction> LearnedScorer::Mitigate(const State& state,
+                                                 absl::Time now) {
   std::vector<GuardAction> out = this->guard.LiftUnreported(now);
   while (!this->windows.empty() && this->windows.begin()->second.due <= now) {
     const std::vector<UsageReport> reports =
         std::move(this->windows.begin()->second.reports);
     this->windows.erase(this->windows.begin());
-    this->Compare(reports);
+    this->UpdateInterference(reports);
     for (const UsageReport& report : reports) {
       const WorkerEntry* worker = state.FindWorker(report.worker);
       if (worker == nullptr)
         continue;
-      const GuardView view = this->ViewOf(report, worker->row, state, now);
+      const GuardView view =
+          this->MakeGuardView(report, worker->row, state, now);
       for (GuardAction& action : this->guard.Judge(view, now))
         out.push_back(std::move(action));
     }
--- a/task/learned_scorer.h
+++ b/task/learned_scorer.h
@@ -1,22 +1,23 @@
 #ifndef TASK_LEARNED_SCORER_H_
 #define TASK_LEARNED_SCORER_H_
 
-// The scorer of a planner that learns from reports and from how attempts end.
+// A scorer that learns from usage reports and from the outcomes of attempts.
 //
 //   Planner<LearnedScorer> planner(options, &charts, LearnedScorer({}), &log);
 //   planner.GetScorer()->SetDocument(document);
-//   planner.GetScorer()->Report(report, now);   // each report of a worker
+//   planner.GetScorer()->AddReport(report, now);   // each report of a worker
 //
-// It adds to BestFitScorer, which also orders the accounts by their dominant
-// share and weight:
-//   - task/usage.h: what tasks use, instead of what is declared;
-//   - task/interference.h: batch tasks and services that go together badly are
-//     kept apart, as long as the batch task has not waited too long;
-//   - task/guard.h: throttles and evictions, which the planner asks for through
-//     Relieve();
-//   - task/blame.h: suspect workers, and workers in doubt that are avoided.
+// It extends BestFitScorer, which also orders the accounts by their dominant
+// share and weight, with
+//   - task/usage.h: estimated usage of tasks in place of their declared size;
+//   - task/interference.h: batch tasks are kept off services that they slow
+//     down, as long as the batch task has not waited too long;
+//   - task/guard.h: throttles and evictions, which the planner requests through
+//     Mitigate();
+//   - task/blame.h: suspect workers; workers with unexplained failures are
+//     avoided.
 //
-// Reports are soft state. A new planner learns anew.
+// The learned state is not stored. A new planner learns again.
 
 #include <cstdint>
 #include <map>
@@ -32,93 +33,97 @@
 namespace cuminjunction {
 
 struct LearnedOptions {
-  BlameOptions blame;
+  FaultAttributionOptions fault_attribution;
   UsageOptions usage;
   InterferenceOptions interference;
   GuardOptions guard;
-  // Reports that were measured within the same window are compared, once all
-  // workers have had the wait to send theirs.
+  // Reports measured within the same window are evaluated together, after a
+  // grace period in which all workers can send theirs.
   absl::Duration window = absl::Seconds(10);
-  absl::Duration window_wait = absl::Seconds(5);
-  // After this wait a batch task goes where it fits, so that it keeps a floor.
-  absl::Duration patience = absl::Minutes(2);
-  // How long usage and interference of classes that no longer run are kept.
-  absl::Duration memory = absl::Hours(24);
+  absl::Duration window_grace = absl::Seconds(5);
+  // A batch task that has waited this long may run beside any service, so that
+  // batch work keeps a minimum throughput.
+  absl::Duration max_batch_wait = absl::Minutes(2);
+  // How long usage and interference of jobs and services that no longer run are
+  // kept.
+  absl::Duration retention = absl::Hours(24);
 };
 
 class LearnedScorer {
  public:
   explicit LearnedScorer(const LearnedOptions& options)
       : options(options),
-        blame(options.blame),
+        attribution(options.fault_attribution),
         usage(options.usage),
         interference(options.interference),
         guard(options.guard) {}
 
-  // Accounts with their weights and services with their tail targets.
+  // Sets the accounts with their weights and the services with their tail
+  // latency targets.
   void SetDocument(const Document& document);
 
-  // Takes a worker's usage report, which may be late.
-  void Report(const UsageReport& report, absl::Time now);
+  // Adds a worker's usage report, which may be late.
+  void AddReport(const UsageReport& report, absl::Time now);
 
   PlacementScore Score(const TaskRow& task,
                        const WorkerRow& worker,
                        const State& state,
                        absl::Time now) const;
-  void Ended(const AttemptOutcome& outcome, absl::Time now);
-  WorkerVerdict Blame(const WorkerRow& worker,
+  void RecordOutcome(const AttemptOutcome& outcome, absl::Time now);
+  WorkerVerdict JudgeWorker(const WorkerRow& worker,
+                            const State& state,
+                            absl::Time now);
+  double FairShareKey(const std::string& account,
                       const State& state,
-                      absl::Time now);
-  double ShareOrder(const std::string& account,
-                    const State& state,
-                    absl::Time now) const;
+                      absl::Time now) const;
 
-  // Throttles and evictions that the reports call for.
-  std::vector<GuardAction> Relieve(const State& state, absl::Time now);
+  // Returns the throttles and evictions that the reports require.
+  std::vector<GuardAction> Mitigate(const State& state, absl::Time now);
 
-  const cuminjunction::Interference& Learned() const {
+  const cuminjunction::Interference& GetInterference() const {
     return this->interference;
   }
 
  private:
-  // Reports of one window that were not compared yet.
-  struct Window {
+  // Reports of one window that have not been evaluated yet.
+  struct ReportWindow {
     absl::Time due;
     std::vector<UsageReport> reports;
   };
-  // Services on a worker, and the exposures to its tasks by owner.
-  struct Mix {
+  // Services with a tail latency target on a worker, and the exposure to the
+  // worker's tasks by owner.
+  struct WorkerLoad {
     std::vector<std::string> services;
     std::map<std::string, double> shares;
   };
 
   double TargetOf(const std::string& service) const;
   double ExpectedShare(const TaskRow& task, const WorkerRow& worker) const;
-  Mix MixOf(const WorkerRow& worker, const State& state) const;
-  double RaiseAt(const std::string& service,
-                 const Mix& mix,
-                 double own_share) const;
+  WorkerLoad LoadOf(const WorkerRow& worker, const State& state) const;
+  double GrowthOnWorker(const std::string& service,
+                        const WorkerLoad& load,
+                        double own_share) const;
   void ScoreInterference(const TaskRow& task,
                          const WorkerRow& worker,
                          const State& state,
                          absl::Time now,
                          PlacementScore* score) const;
-  void Compare(const std::vector<UsageReport>& reports);
-  GuardView ViewOf(const UsageReport& report,
-                   const WorkerRow& worker,
-                   const State& state,
-                   absl::Time now) const;
-  void Forget(absl::Time now);
+  void UpdateInterference(const std::vector<UsageReport>& reports);
+  GuardView MakeGuardView(const UsageReport& report,
+                          const WorkerRow& worker,
+                          const State& state,
+                          absl::Time now) const;
+  void DropStaleModels(absl::Time now);
 
   LearnedOptions options;
   BestFitScorer best_fit;
   std::map<std::string, double> targets_ms;
-  cuminjunction::Blame blame;
+  cuminjunction::FaultAttribution attribution;
   UsageModel usage;
   cuminjunction::Interference interference;
   cuminjunction::Guard guard;
-  std::map<int64_t, Window> windows;
-  absl::Time next_forget = absl::InfinitePast();
+  std::map<int64_t, ReportWindow> windows;
+  absl::Time next_sweep = absl::InfinitePast();
 };
 
 static_assert(Scorer<LearnedScorer>);
--- a/task/operate.h
+++ b/task/operate.h
@@ -1,17 +1,17 @@
 #ifndef TASK_OPERATE_H_
 #define TASK_OPERATE_H_
 
-// Operators' steps on tasks, jobs and workers.
+// Operators' actions on tasks, jobs and workers.
 //
 //   Operator op(&charts, "entry-1", &table);
-//   Status done = op.Drain("w7");
+//   Status drained = op.DrainWorker("w7");
 //
-// Each step reads the rows, applies one transition and commits it; a conflict
-// with a planner or an agent is decided anew on the new rows. Errors:
+// Each action reads the rows, applies one transition and commits it. After a
+// conflict with a planner or an agent it is retried on the new rows. Errors:
 // TableError (kNotFound when there is no such row, kUnavailable,
 // kUnknownOutcome), ChartError::kNoTransition when the row's state does not
-// allow the step, and OperateError::kBusy after too many conflicts. After
-// kUnknownOutcome the step may be repeated: each is idempotent.
+// allow the action, and OperateError::kBusy after too many conflicts. Actions
+// are idempotent, so they may be repeated after kUnknownOutcome.
 
 #include <algorithm>
 #include <cstdint>
@@ -27,7 +27,7 @@
 namespace cuminjunction {
 
 enum class OperateError {
-  // The rows changed again and again.
+  // Other changes of the rows conflicted with every attempt.
   kBusy = 1,
 };
 
@@ -45,9 +45,9 @@
   Operator(const TaskCharts* charts, std::string process, T* table)
       : charts(charts), process(std::move(process)), table(table) {}
 
-  // Cancels a task for good. No error when it is cancelled already.
+  // Cancels a task permanently. Succeeds when it is already cancelled.
   Status CancelTask(const std::string& id, std::string_view reason) {
-    return this->Repeat([&](Batch* batch) -> Status {
+    return this->CommitWithRetry([&](Batch* batch) -> Status {
       BOOST_OUTCOME_TRY(task, this->ReadTask(id));
       if (task.row.state == TaskState::kCancelled)
         return Ok();
@@ -55,15 +55,15 @@
     });
   }
 
-  // Cancels the tasks in few transactions. Tasks that are in a final state, or
-  // that do not exist, are skipped. Returns the number cancelled.
+  // Cancels the tasks, many in a transaction. Tasks that are in a final state,
+  // or that do not exist, are skipped. Returns the number cancelled.
   Result<int64_t> CancelTasks(const std::vector<std::string>& ids,
                               std::string_view reason) {
     int64_t cancelled = 0;
     for (size_t begin = 0; begin < ids.size(); begin += kTasksPerBatch) {
       const size_t end = std::min(ids.size(), begin + kTasksPerBatch);
       int64_t in_batch = 0;
-      BOOST_OUTCOME_TRY(this->Repeat([&](Batch* batch) -> Status {
+      BOOST_OUTCOME_TRY(this->CommitWithRetry([&](Batch* batch) -> Status {
         in_batch = 0;
         for (size_t i = begin; i < end; ++i) {
           const Result<TaskEntry> task = this->ReadTask(ids[i]);
@@ -81,18 +81,18 @@
     return cancelled;
   }
 
-  // Makes a parked task wait again.
+  // Returns a parked task to the waiting tasks.
   Status RetryTask(const std::string& id) {
-    return this->Repeat([&](Batch* batch) -> Status {
+    return this->CommitWithRetry([&](Batch* batch) -> Status {
       BOOST_OUTCOME_TRY(task, this->ReadTask(id));
       return Retry(task, batch);
     });
   }
 
-  // Stops a job or service, or takes it up again. Planners checkpoint and park
-  // its tasks.
+  // Stops a job or service, or resumes it. Planners checkpoint and park the
+  // tasks of a stopped one.
   Status SetStopped(const std::string& name, bool stopped) {
-    return this->Repeat([&](Batch* batch) -> Status {
+    return this->CommitWithRetry([&](Batch* batch) -> Status {
       BOOST_OUTCOME_TRY(row, this->table->Read(OwnerKey(name)));
       BOOST_OUTCOME_TRY(owner, ParseOwner(row));
       const OwnerEntry entry = {owner, row.version};
@@ -102,9 +102,10 @@
     });
   }
 
-  // Has a worker emptied; it gets no new work until it is readmitted.
+  // Requests that planners move all work off a worker. It gets no new work
+  // until it is readmitted.
   Status DrainWorker(const std::string& id) {
-    return this->Repeat([&](Batch* batch) -> Status {
+    return this->CommitWithRetry([&](Batch* batch) -> Status {
       BOOST_OUTCOME_TRY(worker, this->ReadWorker(id));
       if (worker.row.drain_requested)
         return Ok();
@@ -113,7 +114,7 @@
   }
 
   Status ReadmitWorker(const std::string& id) {
-    return this->Repeat([&](Batch* batch) -> Status {
+    return this->CommitWithRetry([&](Batch* batch) -> Status {
       BOOST_OUTCOME_TRY(worker, this->ReadWorker(id));
       if (worker.row.state == WorkerState::kReady)
         return Ok();
@@ -127,14 +128,14 @@
     uint64_t cursor = 0;
     for (;;) {
       BOOST_OUTCOME_TRY(page, this->table->ScanSince(std::string(kWorkerPrefix),
-                                                     cursor, kPage));
+                                                     cursor, kPageSize));
       for (const Row& row : page) {
         cursor = std::max(cursor, row.version);
         const Result<WorkerRow> worker = ParseWorker(row);
         if (worker && worker.value().rack == rack)
           ids.push_back(worker.value().id);
       }
-      if (page.size() < static_cast<size_t>(kPage))
+      if (page.size() < static_cast<size_t>(kPageSize))
         break;
     }
     for (const std::string& id : ids) {
@@ -144,33 +145,35 @@
   }
 
  private:
-  // A cancelled task may add its worker's row; a transaction has up to 100.
+  // Cancelling a task may also write its worker's row, and a transaction is
+  // limited to 100 rows.
   static constexpr size_t kTasksPerBatch = 48;
-  static constexpr int kPage = 500;
-  static constexpr int kMostTries = 20;
+  static constexpr int kPageSize = 500;
+  static constexpr int kMaxAttempts = 20;
 
-  // Adds a cancellation with the worker's row if there is one.
+  // Cancels the task in the batch, with its worker's row if it has a worker.
   Status AddCancel(const TaskEntry& task,
                    std::string_view reason,
                    Batch* batch) {
     if (!task.row.HoldsCapacity())
       return Cancel(task, nullptr, reason, batch);
-    const auto known = batch->Workers().find(task.row.worker);
-    if (known != batch->Workers().end()) {
-      const WorkerEntry worker = known->second;
+    const auto in_batch_worker = batch->Workers().find(task.row.worker);
+    if (in_batch_worker != batch->Workers().end()) {
+      const WorkerEntry worker = in_batch_worker->second;
       return Cancel(task, &worker, reason, batch);
     }
     BOOST_OUTCOME_TRY(worker, this->ReadWorker(task.row.worker));
     return Cancel(task, &worker, reason, batch);
   }
 
+  // Runs `step` on a new batch and commits it; starts over after a conflict.
   template <class F>
-  Status Repeat(F step) {
-    for (int i = 0; i < kMostTries; ++i) {
+  Status CommitWithRetry(F step) {
+    for (int i = 0; i < kMaxAttempts; ++i) {
       Batch batch(this->charts, StrCat("operator-", this->process, "/",
-                                       ++this->transactions));
+                                       ++this->transaction_count));
       const Status decided = step(&batch);
-      // The rows were read one after another and may not belong together.
+      // The rows were read one after another and may be of different times.
       if (!decided && decided.error() == TransitionError::kOldAttempt)
         continue;
       if (!decided)
@@ -202,7 +205,7 @@
   const TaskCharts* charts;
   std::string process;
   T* table;
-  uint64_t transactions = 0;
+  uint64_t transaction_count = 0;
 };
 
 }  // namespace cuminjunction
--- a/task/placer.cc
+++ b/task/placer.cc
@@ -10,20 +10,22 @@
 
 namespace {
 
-// Workers looked at, beyond the candidates, for one with enough memory.
-constexpr int kSkippedWorkers = 24;
-// Workers compared as places to make room on.
+// Workers that may be skipped in the search for candidates because they lack
+// memory or have reserved capacity.
+constexpr int kMaxSkippedWorkers = 24;
+// Random workers compared for evictions.
 constexpr int kEvictionCandidates = 24;
 
-// Less urgent work that can be checkpointed and resumed elsewhere.
-// What was placed in this round is the floor of its class.
+// True for less urgent work that can be checkpointed and resumed elsewhere. A
+// task placed in this round is not evicted, since it is part of the minimum
+// share of its class.
 bool IsEvictable(const TaskRow& victim, const TaskRow& task, absl::Time now) {
   return victim.IsPlaced() && FromMicros(victim.placed_us) < now &&
          victim.kind == TaskKind::kBatch && victim.urgency > task.urgency;
 }
 
-// Core-seconds that are lost when the task resumes from its checkpoint, or
-// starts again.
+// Upper bound of the work, in millicore-seconds, that is lost when the task
+// resumes from its checkpoint or starts again.
 double LostWork(const TaskRow& victim, absl::Time now) {
   const double seconds =
       absl::ToDoubleSeconds(now - FromMicros(victim.placed_us));
@@ -33,15 +35,15 @@
 }  // namespace
 
 void TokenBucket::Refill(absl::Time now) {
-  if (this->last != absl::InfinitePast()) {
-    const double seconds = absl::ToDoubleSeconds(now - this->last);
+  if (this->last_refill != absl::InfinitePast()) {
+    const double seconds = absl::ToDoubleSeconds(now - this->last_refill);
     this->tokens = std::min(this->burst,
                             this->tokens + std::max(seconds, 0.0) * this->rate);
   }
-  this->last = now;
+  this->last_refill = now;
 }
 
-bool TokenBucket::Take(double amount) {
+bool TokenBucket::TryConsume(double amount) {
   if (this->tokens < amount)
     return false;
   this->tokens -= amount;
@@ -59,17 +61,21 @@
       random(options.seed),
       evictions(options.evictions_per_second, options.eviction_burst) {}
 
-bool Placer::IsKnownTooLarge(const Size& size) const {
-  return std::any_of(this->too_large.begin(), this->too_large.end(),
-                     [&](const Size& known) { return Fits(known, size); });
+bool Placer::IsKnownUnplaceable(const Size& size) const {
+  return std::any_of(this->unplaceable_sizes.begin(),
+                     this->unplaceable_sizes.end(),
+                     [&](const Size& unplaceable_size) {
+                       return Fits(unplaceable_size, size);
+                     });
 }
 
-bool Placer::HasRoom(const WorkerRow& worker, const TaskRow& task) const {
+bool Placer::HasFreeCapacity(const WorkerRow& worker,
+                             const TaskRow& task) const {
   Size free = worker.Free();
-  const auto kept = this->reserved.find(worker.id);
-  if (kept != this->reserved.end()) {
+  const auto reserved_size = this->reserved.find(worker.id);
+  if (reserved_size != this->reserved.end()) {
     const auto own = this->reservations.find(task.id);
-    free = free - kept->second;
+    free = free - reserved_size->second;
     if (own != this->reservations.end() && own->second.worker == worker.id)
       free = free + own->second.size;
   }
@@ -83,7 +89,7 @@
   for (int i = 0; i < this->options.random_candidates && !ready.empty(); ++i) {
     const size_t index = this->random() % ready.size();
     const WorkerEntry* worker = state.FindWorker(ready[index]);
-    if (this->HasRoom(worker->row, task))
+    if (this->HasFreeCapacity(worker->row, task))
       out->push_back(worker);
   }
 }
@@ -94,15 +100,17 @@
   const bool by_accelerators = task.size.accelerators > 0;
   const auto& index =
       by_accelerators ? state.ByFreeAccelerators() : state.ByFreeCores();
-  const int64_t least =
+  const int64_t min_free =
       by_accelerators ? task.size.accelerators : task.size.millicores;
-  const auto most = static_cast<size_t>(this->options.tight_candidates);
+  const auto max_candidates =
+      static_cast<size_t>(this->options.tight_candidates);
   int skipped = 0;
-  auto it = index.lower_bound({least, ""});
-  for (; it != index.end() && out.size() < most && skipped < kSkippedWorkers;
+  auto it = index.lower_bound({min_free, ""});
+  for (; it != index.end() && out.size() < max_candidates &&
+         skipped < kMaxSkippedWorkers;
        ++it) {
     const WorkerEntry* worker = state.FindWorker(it->second);
-    if (this->HasRoom(worker->row, task))
+    if (this->HasFreeCapacity(worker->row, task))
       out.push_back(worker);
     else
       ++skipped;
@@ -110,20 +118,20 @@
   this->AddRandom(state, task, &out);
   if (!out.empty())
     return out;
-  for (; it != index.end() && out.size() < most; ++it) {
+  for (; it != index.end() && out.size() < max_candidates; ++it) {
     const WorkerEntry* worker = state.FindWorker(it->second);
-    if (this->HasRoom(worker->row, task))
+    if (this->HasFreeCapacity(worker->row, task))
       out.push_back(worker);
   }
   if (out.empty())
-    this->too_large.push_back(task.size);
+    this->unplaceable_sizes.push_back(task.size);
   return out;
 }
 
-void Placer::NoteWithoutRoom(const TaskRow& task) {
+void Placer::RecordUnplacedUrgent(const TaskRow& task) {
   if (task.urgency == Urgency::kUrgent &&
-      this->without_room.size() < this->options.most_evicted_for)
-    this->without_room.push_back(task.id);
+      this->unplaced_urgent.size() < this->options.max_preempting_tasks)
+    this->unplaced_urgent.push_back(task.id);
 }
 
 std::vector<Urgency> Placer::ClassOrder(const State& state, bool urgent_only) {
@@ -131,12 +139,13 @@
     return {Urgency::kUrgent};
   std::vector<Urgency> order = {Urgency::kUrgent, Urgency::kNormal,
                                 Urgency::kBatch};
-  ++this->turn;
-  if (this->turn % this->options.floor_every != 0)
+  ++this->placement_turn;
+  if (this->placement_turn % this->options.less_urgent_every != 0)
     return order;
-  // The less urgent classes take turns at the floor.
-  const bool batch_first = (this->turn / this->options.floor_every) % 2 == 0 ||
-                           state.Waiting(Urgency::kNormal).empty();
+  // The two less urgent classes alternate in being first.
+  const bool batch_first =
+      (this->placement_turn / this->options.less_urgent_every) % 2 == 0 ||
+      state.Waiting(Urgency::kNormal).empty();
   if (batch_first)
     std::rotate(order.begin(), order.begin() + 2, order.end());
   else
@@ -168,7 +177,7 @@
 void Placer::ExpireReservations(absl::Time now) {
   std::vector<std::string> expired;
   for (const auto& [task, reservation] : this->reservations) {
-    if (reservation.until <= now)
+    if (reservation.expiry <= now)
       expired.push_back(task);
   }
   for (const std::string& task : expired)
@@ -181,14 +190,14 @@
                                          absl::Time now) const {
   std::vector<const TaskRow*> evictable;
   Size free = worker.Free();
-  const auto kept = this->reserved.find(worker.id);
-  if (kept != this->reserved.end())
-    free = free - kept->second;
+  const auto reserved_size = this->reserved.find(worker.id);
+  if (reserved_size != this->reserved.end())
+    free = free - reserved_size->second;
   for (const Assignment& assignment : worker.assignments) {
     const TaskEntry* entry = state.FindTask(assignment.task);
     if (entry != nullptr && IsEvictable(entry->row, task, now))
       evictable.push_back(&entry->row);
-    // Room that earlier decisions are freeing.
+    // Capacity that earlier evictions and stops are freeing.
     if (assignment.action != AssignmentAction::kRun)
       free = free + assignment.size;
   }
@@ -207,8 +216,10 @@
   return Fits(task.size, free) ? out : std::vector<std::string>();
 }
 
-std::pair<std::string, std::vector<std::string>>
-Placer::CheapestRoom(const State& state, const TaskRow& task, absl::Time now) {
+std::pair<std::string, std::vector<std::string>> Placer::FindCheapestEviction(
+    const State& state,
+    const TaskRow& task,
+    absl::Time now) {
   std::pair<std::string, std::vector<std::string>> best;
   double best_cost = 0;
   const std::vector<std::string>& ready = state.ReadyWorkers();
@@ -230,26 +241,26 @@
   return best;
 }
 
-bool Placer::IsBelowFloor(const State& state,
-                          const std::vector<std::string>& victims) const {
-  Size left[kUrgencyCount];
+bool Placer::IsBelowMinShare(const State& state,
+                             const std::vector<std::string>& victims) const {
+  Size remaining_use[kUrgencyCount];
   for (const Urgency urgency : {Urgency::kNormal, Urgency::kBatch})
-    left[static_cast<size_t>(urgency)] = state.UseOf(urgency);
+    remaining_use[static_cast<size_t>(urgency)] = state.UseOf(urgency);
   for (const std::string& id : victims) {
     const TaskRow& victim = state.FindTask(id)->row;
-    Size& use = left[static_cast<size_t>(victim.urgency)];
+    Size& use = remaining_use[static_cast<size_t>(victim.urgency)];
     use = use - victim.size;
-    if (DominantShare(use, state.Capacity()) < this->options.eviction_floor)
+    if (DominantShare(use, state.Capacity()) < this->options.min_class_share)
       return true;
   }
   return false;
 }
 
-void Placer::MakeRoom(const State& state,
-                      absl::Time now,
-                      Plan* plan,
-                      Explainer* explainer) {
-  const std::vector<std::string> tasks = std::move(this->without_room);
+void Placer::EvictForUrgent(const State& state,
+                            absl::Time now,
+                            Plan* plan,
+                            Explainer* explainer) {
+  const std::vector<std::string> tasks = std::move(this->unplaced_urgent);
   for (const std::string& id : tasks) {
     if (this->reservations.contains(id))
       continue;
@@ -257,16 +268,16 @@
     if (entry == nullptr || !entry->row.IsWaiting())
       continue;
     const TaskRow task = entry->row;
-    const auto [worker, victims] = this->CheapestRoom(state, task, now);
-    if (victims.empty() || this->IsBelowFloor(state, victims))
+    const auto [worker, victims] = this->FindCheapestEviction(state, task, now);
+    if (victims.empty() || this->IsBelowMinShare(state, victims))
       continue;
-    if (!this->evictions.Take(static_cast<double>(victims.size())))
+    if (!this->evictions.TryConsume(static_cast<double>(victims.size())))
       return;
     const std::string reason = StrCat("makes room for ", id);
     for (const std::string& victim : victims) {
       const TaskRow evicted = state.FindTask(victim)->row;
       if (plan->Evict(victim, reason))
-        explainer->Evicted(evicted, reason, now);
+        explainer->RecordEviction(evicted, reason, now);
     }
     this->Reserve(task, worker, now);
   }
--- a/task/placer_internal.h
+++ b/task/placer_internal.h
@@ -33,20 +33,21 @@
     best_score = score;
   }
   if (best == nullptr) {
-    explainer->Waits(task,
-                     candidates.empty()
-                         ? "no worker has room for it now"
-                         : "no worker with room is suitable for it now",
-                     now);
+    explainer->RecordWait(
+        task,
+        candidates.empty()
+            ? "no worker has enough free capacity for it now"
+            : "no worker with enough free capacity is suitable for it now",
+        now);
     return false;
   }
-  // The rows change when the decision is applied.
+  // Copies, because Place() changes the rows in the state.
   const TaskRow decided = task;
   const WorkerRow target = best->row;
   if (!plan->Place(decided.id, target.id, now, PlaceMode::kNormal))
     return false;
   this->Release(decided.id);
-  explainer->Placed(decided, target, best_score, allowed, now);
+  explainer->RecordPlacement(decided, target, best_score, allowed, now);
   return true;
 }
 
@@ -65,50 +66,52 @@
     return false;
   const auto quota = quotas.find(account);
   const Size use = state->UseOf(account);
-  int looks = 0;
+  int attempts = 0;
   int skips = 0;
   for (const auto& [created, id] : queue->second) {
-    if (looks > this->options.most_looks || skips > this->options.most_skips)
+    if (attempts > this->options.max_placement_attempts ||
+        skips > this->options.max_skips)
       return false;
     const TaskRow& task = state->FindTask(id)->row;
     if (quota != quotas.end() && !Fits(use + task.size, quota->second)) {
-      ++looks;
-      explainer->Waits(task, QuotaReason(task, quota->second), now);
+      ++attempts;
+      explainer->RecordWait(task, QuotaReason(task, quota->second), now);
       continue;
     }
-    if (this->IsKnownTooLarge(task.size) &&
+    if (this->IsKnownUnplaceable(task.size) &&
         !this->reservations.contains(task.id)) {
       ++skips;
-      this->NoteWithoutRoom(task);
+      this->RecordUnplacedUrgent(task);
       continue;
     }
-    ++looks;
+    ++attempts;
     if (this->PlaceTask(scorer, *state, task, now, plan, explainer))
       return true;
-    this->NoteWithoutRoom(state->FindTask(id)->row);
+    this->RecordUnplacedUrgent(state->FindTask(id)->row);
   }
   return false;
 }
 
 template <Scorer S>
-bool Placer::PlaceOneOf(Urgency urgency,
-                        S* scorer,
-                        State* state,
-                        const Quotas& quotas,
-                        absl::Time now,
-                        Plan* plan,
-                        Explainer* explainer) {
+bool Placer::PlaceOneOfClass(Urgency urgency,
+                             S* scorer,
+                             State* state,
+                             const Quotas& quotas,
+                             absl::Time now,
+                             Plan* plan,
+                             Explainer* explainer) {
   std::vector<std::pair<double, std::string>> order;
   for (const auto& [account, queue] : state->Waiting(urgency)) {
     if (!this->exhausted.contains({urgency, account}))
-      order.emplace_back(scorer->ShareOrder(account, *state, now), account);
+      order.emplace_back(scorer->FairShareKey(account, *state, now), account);
   }
   std::sort(order.begin(), order.end());
   for (const auto& [share, account] : order) {
     if (this->PlaceOneOfAccount(account, urgency, scorer, state, quotas, now,
                                 plan, explainer))
       return true;
-    // Nothing becomes free within a round, so the account is not tried again.
+    // No capacity becomes free within a round, so the account is not tried
+    // again.
     this->exhausted.insert({urgency, account});
   }
   return false;
@@ -124,20 +127,20 @@
                  Explainer* explainer) {
   this->evictions.Refill(now);
   this->ExpireReservations(now);
-  this->too_large.clear();
-  this->without_room.clear();
+  this->unplaceable_sizes.clear();
+  this->unplaced_urgent.clear();
   this->exhausted.clear();
   bool placed = true;
-  while (placed && plan->Rows() < limits.most_rows) {
+  while (placed && plan->RowCount() < limits.max_rows) {
     placed = false;
     for (const Urgency urgency : this->ClassOrder(*state, limits.urgent_only)) {
-      placed = this->PlaceOneOf(urgency, scorer, state, quotas, now, plan,
-                                explainer);
+      placed = this->PlaceOneOfClass(urgency, scorer, state, quotas, now, plan,
+                                     explainer);
       if (placed)
         break;
     }
   }
-  this->MakeRoom(*state, now, plan, explainer);
+  this->EvictForUrgent(*state, now, plan, explainer);
 }
 
 }  // namespace cuminjunction
--- a/task/plan.cc
+++ b/task/plan.cc
@@ -8,15 +8,16 @@
 
 namespace {
 
-// The table's transactions are limited to 100 rows. A decision adds two.
-constexpr size_t kMostRows = 98;
+// The table's transactions are limited to 100 rows, and a decision adds up to
+// two.
+constexpr size_t kMaxRows = 98;
 
 }  // namespace
 
 std::string_view ErrorTraits<PlanError>::Message(PlanError error) {
   switch (error) {
     case PlanError::kBusy:
-      return "rows are part of another batch of this round";
+      return "rows belong to another batch of this round, or the batch is full";
     case PlanError::kUnknownTask:
       return "task is unknown";
     case PlanError::kUnknownWorker:
@@ -53,13 +54,14 @@
   } else if (has_worker) {
     index = worker_batch->second;
   } else if (worker.empty()) {
-    if (!this->common || this->batches[*this->common].size() >= kMostRows)
-      this->common = this->NewBatch();
-    index = *this->common;
+    if (!this->unassigned_batch ||
+        this->batches[*this->unassigned_batch].size() >= kMaxRows)
+      this->unassigned_batch = this->NewBatch();
+    index = *this->unassigned_batch;
   } else {
     index = this->NewBatch();
   }
-  if (this->batches[index].size() >= kMostRows)
+  if (this->batches[index].size() >= kMaxRows)
     return PlanError::kBusy;
   return index;
 }
@@ -230,7 +232,7 @@
   return Ok();
 }
 
-size_t Plan::Rows() const {
+size_t Plan::RowCount() const {
   size_t rows = 0;
   for (const Batch& batch : this->batches)
     rows += batch.size();
--- a/task/plan.h
+++ b/task/plan.h
@@ -7,11 +7,11 @@
 //   Status placed = plan.Place("job.1.0", "w1", now, PlaceMode::kNormal);
 //   for (Batch& batch : plan.TakeBatches()) ...   // commit
 //
-// Each decision is applied to the picture at once. All decisions about a worker
-// are in one batch, so that no two batches of a plan touch the same row, and a
-// conflict about one worker undoes nothing elsewhere. A decision that would
-// join two batches, or that would make one too large, is refused with kBusy and
-// comes up again in the next round.
+// Each decision is applied to the planner's state immediately. All decisions
+// about a worker are in one batch, so no two batches of a plan write the same
+// row, and a conflict about one worker does not revert decisions about others.
+// A decision that would need rows of two batches, or exceed the size of one, is
+// refused with kBusy and made again in the next round.
 
 #include <cstdint>
 #include <map>
@@ -66,23 +66,23 @@
   Status Suspect(const std::string& worker);
   Status Readmit(const std::string& worker);
 
-  // Changes an owner's row and creates tasks of it together.
+  // Changes an owner's row and creates tasks of it in one batch.
   Status Expand(const OwnerEntry& owner,
                 const OwnerRow& changed,
                 const std::vector<TaskRow>& created);
 
-  // Rows written by all batches.
-  size_t Rows() const;
+  // Number of rows written by all batches.
+  size_t RowCount() const;
 
   std::vector<Batch> TakeBatches() { return std::move(this->batches); }
 
  private:
-  // Index of the batch for decisions about the rows, or kBusy. Empty ids stand
-  // for none.
+  // Index of the batch for a decision about the task and the worker, or kBusy.
+  // An empty id means that the decision has no task or no worker.
   Result<size_t> BatchFor(const std::string& task, const std::string& worker);
   size_t NewBatch();
 
-  // Runs a transition on the batch for the rows and applies it to the picture.
+  // Runs a transition on the batch for the rows and applies it to the state.
   template <class F>
   Status Decide(const std::string& task, const std::string& worker, F step);
   template <class F>
@@ -97,8 +97,8 @@
   std::vector<Batch> batches;
   std::map<std::string, size_t> task_batches;
   std::map<std::string, size_t> worker_batches;
-  // The batch that takes decisions about tasks without a worker.
-  std::optional<size_t> common;
+  // The batch for decisions about tasks without a worker.
+  std::optional<size_t> unassigned_batch;
 };
 
 }  // namespace cuminjunction
--- a/task/planner.h
+++ b/task/planner.h
@@ -1,23 +1,25 @@
 #ifndef TASK_PLANNER_H_
 #define TASK_PLANNER_H_
 
-// Decides what runs where, over a planner's picture of the rows.
+// Decides which task runs on which worker, from an in-memory copy of the rows.
 //
 //   Planner<BestFitScorer> planner(options, &charts, scorer, &log);
 //   planner.SetDocument(version, document);
 //   planner.GetState()->Apply(row);               // rows as they are read
-//   std::vector<Batch> batches = planner.Round(now, lapsed);
+//   std::vector<Batch> batches = planner.Round(input);
 //
-// A round is pure: it reads no clock, table or socket. Its decisions are in the
-// picture at once; the caller commits the batches and applies what comes of
-// them (see task/planner_loop.h). In this order a round
-//   1. fences workers whose lease has lapsed and releases what is lost,
+// A round reads no clock, table or socket. Its decisions are applied to the
+// state immediately. The caller commits the batches and applies the results of
+// the commits (see task/planner_loop.h). A round, in this order,
+//   1. fences workers whose lease has expired and releases lost assignments,
 //   2. expands changed jobs and services and updates what depends on them,
-//   3. parks tasks that no worker can ever hold, and retries them when one can,
-//   4. blames workers as the scorer says,
-//   5. throttles and evicts for services, when the scorer asks for it,
-//   6. empties workers that are being drained,
-//   7. places waiting tasks, evicting for urgent ones within the budget.
+//   3. parks tasks that fit no worker, and retries them when one is added that
+//      they fit,
+//   4. marks workers suspect, probes or readmits them by the scorer's verdict,
+//   5. throttles and evicts tasks that slow down services, if the scorer
+//      requests it,
+//   6. evicts tasks from workers that are being drained,
+//   7. places waiting tasks, and evicts for urgent ones within the budget.
 
 #include <cstdint>
 #include <map>
@@ -42,29 +44,29 @@
   // Unique among processes and restarts; part of transaction ids.
   std::string name;
   PlacerOptions placer;
-  // Evictions of a round from workers that are being drained.
-  int drain_evictions = 20;
+  // Maximum number of evictions of a round from workers that are being drained.
+  int max_drain_evictions = 20;
 };
 
-// What a round may do.
+// Time, expired leases and limits of a round.
 struct RoundInput {
   absl::Time now;
-  std::vector<LeaseLapse> lapsed;
-  // False until every row was read once. Before, only urgent work is placed,
+  std::vector<LeaseLapse> expired_leases;
+  // True once every row has been read. Until then, only urgent work is placed
   // and nothing is expanded.
   bool complete = true;
   // False after an outage until the workers have renewed their leases.
   bool may_place = true;
-  // Rows that expansion and placements may write; fences, releases and
+  // Number of rows at which expansion and placement end. Fences, releases and
   // cancellations may exceed it.
-  size_t most_rows = 80;
+  size_t max_rows = 80;
 };
 
-// A scorer that also asks for throttles and evictions.
+// A scorer that also requests throttles and evictions.
 template <class S>
-concept RelievingScorer = Scorer<S> &&
+concept MitigatingScorer = Scorer<S> &&
     requires(S& scorer, const State& state, absl::Time now) {
-  { scorer.Relieve(state, now) } -> std::same_as<std::vector<GuardAction>>;
+  { scorer.Mitigate(state, now) } -> std::same_as<std::vector<GuardAction>>;
 };
 
 template <Scorer S>
@@ -80,17 +82,17 @@
         placer(options.placer),
         explainer(log) {}
 
-  // Takes a configuration document. Lower versions than the known one are
-  // ignored.
+  // Sets the configuration document. Ignored unless its version is higher than
+  // that of the present one.
   void SetDocument(uint64_t version, const Document& document) {
     if (version <= this->config_version)
       return;
     this->config_version = version;
     for (const auto& [name, declaration] : this->declared)
-      this->touched.insert(name);
+      this->owners_to_expand.insert(name);
     this->declared = Declarations(document);
     for (const auto& [name, declaration] : this->declared)
-      this->touched.insert(name);
+      this->owners_to_expand.insert(name);
     this->quotas.clear();
     for (const auto& [name, account] : document.accounts)
       this->quotas[name] = account.quota;
@@ -106,23 +108,23 @@
     return this->explainer.Explain(task, this->state);
   }
 
-  // One round of decisions. The batches touch disjoint rows.
+  // Makes one round of decisions. The batches write disjoint rows.
   std::vector<Batch> Round(const RoundInput& input) {
     const absl::Time now = input.now;
     Plan plan(this->charts, &this->state, this->options.name, &this->counter);
     this->state.Wake(now);
-    this->FenceLapsed(input, &plan);
+    this->FenceExpired(input, &plan);
     this->ReleaseLost(&plan);
     if (input.complete) {
-      this->Expand(now, input.most_rows, &plan);
-      this->ParkUnfit(&plan);
+      this->Expand(now, input.max_rows, &plan);
+      this->ParkUnplaceable(&plan);
     }
-    this->BlameWorkers(now, &plan);
+    this->JudgeWorkers(now, &plan);
     if (input.may_place) {
-      if constexpr (RelievingScorer<S>)
-        this->RelieveServices(now, &plan);
-      this->EmptyDraining(now, &plan);
-      const RoundLimits limits = {input.most_rows, !input.complete};
+      if constexpr (MitigatingScorer<S>)
+        this->MitigateInterference(now, &plan);
+      this->EvictFromDraining(now, &plan);
+      const RoundLimits limits = {input.max_rows, !input.complete};
       this->placer.Run(&this->scorer, &this->state, this->quotas, limits, now,
                        &plan, &this->explainer);
     }
@@ -130,11 +132,11 @@
   }
 
  private:
-  void FenceLapsed(const RoundInput& input, Plan* plan) {
-    for (const LeaseLapse& lapse : input.lapsed) {
-      const WorkerEntry* worker = this->state.FindWorker(lapse.worker);
-      if (worker != nullptr && worker->row.epoch == lapse.epoch)
-        (void)plan->Fence(lapse.worker, lapse.sequence);
+  void FenceExpired(const RoundInput& input, Plan* plan) {
+    for (const LeaseLapse& expired : input.expired_leases) {
+      const WorkerEntry* worker = this->state.FindWorker(expired.worker);
+      if (worker != nullptr && worker->row.epoch == expired.epoch)
+        (void)plan->Fence(expired.worker, expired.sequence);
     }
   }
 
@@ -149,10 +151,10 @@
     }
   }
 
-  void Expand(absl::Time now, size_t most_rows, Plan* plan) {
+  void Expand(absl::Time now, size_t max_rows, Plan* plan) {
     std::set<std::string> names = this->state.TakeChangedOwners();
-    names.merge(this->touched);
-    this->touched.clear();
+    names.merge(this->owners_to_expand);
+    this->owners_to_expand.clear();
     if (this->config_changed) {
       for (const auto& [name, owner] : this->state.Owners())
         names.insert(name);
@@ -161,13 +163,13 @@
       this->config_changed = false;
     }
     if (this->config_version == 0) {
-      this->touched = std::move(names);
+      this->owners_to_expand = std::move(names);
       return;
     }
     for (const std::string& name : names) {
-      // What does not fit into this round comes up in the next.
-      if (plan->Rows() >= most_rows) {
-        this->touched.insert(name);
+      // Owners beyond the row limit are expanded in the next round.
+      if (plan->RowCount() >= max_rows) {
+        this->owners_to_expand.insert(name);
         continue;
       }
       ExpandOwner(name, this->declared, this->config_version, this->state, now,
@@ -176,46 +178,47 @@
     }
   }
 
-  // A task of a size above every worker's is reported at once.
-  void ParkUnfit(Plan* plan) {
+  // Parks waiting tasks that are larger than every worker, so that operators
+  // see them at once, and retries parked ones that now fit a worker.
+  void ParkUnplaceable(Plan* plan) {
     if (this->state.Workers().empty())
       return;
-    std::vector<std::string> hopeless;
+    std::vector<std::string> unplaceable;
     for (const auto& [size, ids] : this->state.WaitingSizes()) {
       if (!this->state.CanEverFit(size))
-        hopeless.insert(hopeless.end(), ids.begin(), ids.end());
+        unplaceable.insert(unplaceable.end(), ids.begin(), ids.end());
     }
-    for (const std::string& id : hopeless) {
+    for (const std::string& id : unplaceable) {
       (void)plan->Park(id, ParkReason::kNoWorkerFits,
                        "no worker of the fleet is large enough");
     }
     if (this->state.Unfit().empty())
       return;
-    const std::set<std::string> unfit = this->state.Unfit();
-    for (const std::string& id : unfit) {
+    const std::set<std::string> parked_unplaceable = this->state.Unfit();
+    for (const std::string& id : parked_unplaceable) {
       if (this->state.CanEverFit(this->state.FindTask(id)->row.size))
         (void)plan->Retry(id);
     }
   }
 
-  void BlameWorkers(absl::Time now, Plan* plan) {
-    std::set<std::string> asked = this->state.SuspectWorkers();
+  void JudgeWorkers(absl::Time now, Plan* plan) {
+    std::set<std::string> workers_to_judge = this->state.SuspectWorkers();
     for (const AttemptOutcome& outcome : this->state.TakeOutcomes()) {
-      this->scorer.Ended(outcome, now);
-      asked.insert(outcome.worker);
+      this->scorer.RecordOutcome(outcome, now);
+      workers_to_judge.insert(outcome.worker);
     }
-    for (const std::string& id : asked) {
+    for (const std::string& id : workers_to_judge) {
       const WorkerEntry* worker = this->state.FindWorker(id);
       if (worker == nullptr)
         continue;
-      switch (this->scorer.Blame(worker->row, this->state, now)) {
+      switch (this->scorer.JudgeWorker(worker->row, this->state, now)) {
         case WorkerVerdict::kNone:
           break;
         case WorkerVerdict::kSuspect:
           (void)plan->Suspect(id);
           break;
         case WorkerVerdict::kProbe:
-          this->Probe(id, now, plan);
+          this->PlaceProbe(id, now, plan);
           break;
         case WorkerVerdict::kReadmit:
           (void)plan->Readmit(id);
@@ -224,8 +227,8 @@
     }
   }
 
-  // Gives a suspect worker the least urgent waiting task that it can hold.
-  void Probe(const std::string& worker, absl::Time now, Plan* plan) {
+  // Places the least urgent waiting task that fits on a suspect worker.
+  void PlaceProbe(const std::string& worker, absl::Time now, Plan* plan) {
     for (const Urgency urgency : {Urgency::kBatch, Urgency::kNormal}) {
       for (const auto& [account, queue] : this->state.Waiting(urgency)) {
         const std::string id = queue.begin()->second;
@@ -235,9 +238,10 @@
     }
   }
 
-  // A refused action is asked for again with a later report.
-  void RelieveServices(absl::Time now, Plan* plan) {
-    for (const GuardAction& action : this->scorer.Relieve(this->state, now)) {
+  // Throttles and evicts tasks that slow down services. The scorer requests a
+  // refused action again with a later report.
+  void MitigateInterference(absl::Time now, Plan* plan) {
+    for (const GuardAction& action : this->scorer.Mitigate(this->state, now)) {
       const TaskEntry* entry = this->state.FindTask(action.task);
       if (entry == nullptr || !entry->row.IsPlaced())
         continue;
@@ -245,14 +249,14 @@
       if (action.kind == GuardAction::Kind::kThrottle)
         (void)plan->Throttle(task.id, action.share_percent);
       else if (plan->Evict(task.id, action.reason))
-        this->explainer.Evicted(task, action.reason, now);
+        this->explainer.RecordEviction(task, action.reason, now);
     }
   }
 
-  // Checkpoints exclusive tasks of draining workers. Replicas are replaced by
-  // the expansion, which starts their replacements first.
-  void EmptyDraining(absl::Time now, Plan* plan) {
-    int left = this->options.drain_evictions;
+  // Evicts exclusive tasks, with a checkpoint, from draining workers. Replicas
+  // are replaced by the expansion, which starts their replacements first.
+  void EvictFromDraining(absl::Time now, Plan* plan) {
+    int evictions_left = this->options.max_drain_evictions;
     const std::set<std::string> workers = this->state.DrainingWorkers();
     for (const std::string& id : workers) {
       const WorkerRow worker = this->state.FindWorker(id)->row;
@@ -261,13 +265,13 @@
         if (entry == nullptr)
           continue;
         const TaskRow task = entry->row;
-        this->touched.insert(task.owner);
-        if (left <= 0 || !task.IsExclusive() || !task.IsPlaced())
+        this->owners_to_expand.insert(task.owner);
+        if (evictions_left <= 0 || !task.IsExclusive() || !task.IsPlaced())
           continue;
         const std::string reason = StrCat("worker ", id, " is drained");
         if (plan->Evict(task.id, reason)) {
-          --left;
-          this->explainer.Evicted(task, reason, now);
+          --evictions_left;
+          this->explainer.RecordEviction(task, reason, now);
         }
       }
     }
@@ -283,8 +287,9 @@
   uint64_t config_version = 0;
   std::map<std::string, Declaration> declared;
   Quotas quotas;
-  // Jobs and services to look at in the next round.
-  std::set<std::string> touched;
+  // Jobs and services to expand in the next round, besides those whose rows
+  // changed.
+  std::set<std::string> owners_to_expand;
   bool config_changed = false;
 };
 
--- a/task/scorer.cc
+++ b/task/scorer.cc
@@ -6,9 +6,11 @@
 
 namespace {
 
-// A failed attempt is retried elsewhere when there is room elsewhere.
-constexpr double kFailedHerePenalty = 4;
-// Accelerators are scarce, so that other work stays off workers with free ones.
+// Makes another attempt run on a worker where the task has not failed yet, if
+// one has free capacity.
+constexpr double kRepeatedFailurePenalty = 4;
+// Keeps work without accelerators off workers with free accelerators, which are
+// scarce.
 constexpr double kWastedAcceleratorPenalty = 0.5;
 
 double Ratio(int64_t part, int64_t whole) {
@@ -33,10 +35,11 @@
                                     const State& state,
                                     absl::Time /*now*/) const {
   PlacementScore score;
-  const Size left = worker.Free() - task.size;
-  score.fit = 1 - std::max(Ratio(left.millicores, worker.capacity.millicores),
-                           Ratio(left.memory_mib, worker.capacity.memory_mib));
-  if (task.size.accelerators == 0 && left.accelerators > 0)
+  const Size remaining = worker.Free() - task.size;
+  score.fit =
+      1 - std::max(Ratio(remaining.millicores, worker.capacity.millicores),
+                   Ratio(remaining.memory_mib, worker.capacity.memory_mib));
+  if (task.size.accelerators == 0 && remaining.accelerators > 0)
     score.fit -= kWastedAcceleratorPenalty;
   const OwnerTasks& owner = state.TasksOf(task.owner);
   if (owner.placed > 0) {
@@ -47,22 +50,22 @@
   }
   if (std::find(task.failed_on.begin(), task.failed_on.end(), worker.id) !=
       task.failed_on.end())
-    score.moving -= kFailedHerePenalty;
+    score.moving -= kRepeatedFailurePenalty;
   return score;
 }
 
-void BestFitScorer::Ended(const AttemptOutcome& /*outcome*/,
-                          absl::Time /*now*/) {}
+void BestFitScorer::RecordOutcome(const AttemptOutcome& /*outcome*/,
+                                  absl::Time /*now*/) {}
 
-WorkerVerdict BestFitScorer::Blame(const WorkerRow& /*worker*/,
-                                   const State& /*state*/,
-                                   absl::Time /*now*/) const {
+WorkerVerdict BestFitScorer::JudgeWorker(const WorkerRow& /*worker*/,
+                                         const State& /*state*/,
+                                         absl::Time /*now*/) const {
   return WorkerVerdict::kNone;
 }
 
-double BestFitScorer::ShareOrder(const std::string& account,
-                                 const State& state,
-                                 absl::Time /*now*/) const {
+double BestFitScorer::FairShareKey(const std::string& account,
+                                   const State& state,
+                                   absl::Time /*now*/) const {
   const auto found = this->accounts.find(account);
   const int64_t weight = found == this->accounts.end()
                              ? 1
--- a/task/scorer.h
+++ b/task/scorer.h
@@ -1,23 +1,26 @@
 #ifndef TASK_SCORER_H_
 #define TASK_SCORER_H_
 
-// What a planner consults about placements.
+// The scoring policy of a planner.
 //
-// A scorer judges single workers for single tasks, orders client accounts and
-// blames workers. The planner does the rest: it keeps capacity, quotas, urgency
-// and the charts by itself, so that no scorer can break a promise:
+// A scorer rates a worker for a task, orders client accounts and reports faulty
+// workers. The planner itself enforces capacity, quotas, urgency and the
+// charts, so no scorer can violate them:
 //
 //   PlacementScore score = scorer.Score(task, worker, state, now);
-//   if (!score.allowed) ...           // never this worker, for now
+//   if (!score.allowed) ...           // not on this worker for now
 //   best = highest score.Total();
 //
-//   Ended(outcome, now)    an attempt ended, as seen in the rows
-//   Blame(worker, state, now)  asked for each worker on which an attempt ended
-//                          since the last round and for each suspect one
-//   ShareOrder(account, state, now)  the account with the smallest value is
-//                          served first within an urgency
+//   RecordOutcome(outcome, now)
+//       Called for each attempt whose end the rows show.
+//   JudgeWorker(worker, state, now)
+//       Called for each worker on which an attempt has ended since the last
+//       round and for each suspect worker.
+//   FairShareKey(account, state, now)
+//       Within an urgency, the account with the smallest value is served first.
 //
-// BestFitScorer is the default: it knows neither usage nor interference.
+// BestFitScorer is the default. It uses neither measured usage nor
+// interference.
 
 #include <concepts>
 #include <map>
@@ -29,19 +32,22 @@
 
 namespace cuminjunction {
 
-// Parts of a score; each is at most 1 and higher is better. They are logged
+// Parts of a score. Each is at most 1, and higher is better. They are logged
 // with the decision.
 struct PlacementScore {
   bool allowed = true;
-  // How little of the worker's scarcest resource is left over.
+  // High when the placement leaves little free of the worker's processors and
+  // memory, whichever has the larger free share.
   double fit = 0;
-  // How few tasks of the same owner share the rack and failure domain.
+  // High when few tasks of the same owner are in the rack and failure domain.
   double spread = 0;
-  // How little the worker's other tasks slow this one down, and the reverse.
+  // High when the task and the worker's other tasks slow each other down
+  // little.
   double interference = 0;
-  // How near the worker is to what the task needs.
+  // High when the worker is near to the resources that the task needs.
   double locality = 0;
-  // How little is lost by moving.
+  // Negative when the worker is a poor target for another attempt, for instance
+  // after a failure there.
   double moving = 0;
 
   double Total() const {
@@ -53,9 +59,9 @@
 // What to do about a worker.
 enum class WorkerVerdict {
   kNone,
-  // Place nothing on it but single probes.
+  // Place only single probe tasks on it.
   kSuspect,
-  // Let it have one task to see whether it still fails.
+  // Place one task on it to test whether it still fails.
   kProbe,
   kReadmit,
 };
@@ -69,16 +75,16 @@
                           const std::string& account,
                           absl::Time now) {
   { scorer.Score(task, worker, state, now) } -> std::same_as<PlacementScore>;
-  { scorer.Ended(outcome, now) } -> std::same_as<void>;
-  { scorer.Blame(worker, state, now) } -> std::same_as<WorkerVerdict>;
-  { scorer.ShareOrder(account, state, now) } -> std::same_as<double>;
+  { scorer.RecordOutcome(outcome, now) } -> std::same_as<void>;
+  { scorer.JudgeWorker(worker, state, now) } -> std::same_as<WorkerVerdict>;
+  { scorer.FairShareKey(account, state, now) } -> std::same_as<double>;
 };
 
-// Best fit with spread over racks and failure domains. Accounts are ordered by
-// their dominant share divided by their weight.
+// Best fit with tasks of an owner spread over racks and failure domains.
+// Accounts are ordered by their dominant share divided by their weight.
 class BestFitScorer {
  public:
-  // `accounts` may be replaced when the configuration changes.
+  // Replaces the accounts, for instance when the configuration changes.
   void SetAccounts(std::map<std::string, Account> new_accounts) {
     this->accounts = std::move(new_accounts);
   }
@@ -87,19 +93,19 @@
                        const WorkerRow& worker,
                        const State& state,
                        absl::Time now) const;
-  void Ended(const AttemptOutcome& outcome, absl::Time now);
-  WorkerVerdict Blame(const WorkerRow& worker,
+  void RecordOutcome(const AttemptOutcome& outcome, absl::Time now);
+  WorkerVerdict JudgeWorker(const WorkerRow& worker,
+                            const State& state,
+                            absl::Time now) const;
+  double FairShareKey(const std::string& account,
                       const State& state,
                       absl::Time now) const;
-  double ShareOrder(const std::string& account,
-                    const State& state,
-                    absl::Time now) const;
 
  private:
   std::map<std::string, Account> accounts;
 };
 
-// The largest share of the capacity that `use` takes of any resource.
+// The largest share of the capacity that `use` takes of any single resource.
 double DominantShare(const Size& use, const Size& capacity);
 
 }  // namespace cuminjunction
--- a/task/testing/guard_test.cc
+++ b/task/testing/guard_test.cc
@@ -167,7 +167,7 @@
     for (int i = 0; i < 5; ++i) {
       const std::string worker = StrCat("w", i);
       const std::string batch = i == 0 ? "bad" : "good";
-      planner.GetScorer()->Report(
+      planner.GetScorer()->AddReport(
           {worker,
            {16000, 60000, 0},
            now,
--- a/task/testing/interference_test.cc
+++ b/task/testing/interference_test.cc
@@ -10,58 +10,59 @@
 namespace {
 
 const absl::Time kNow = FromMicros(1'000'000'000);
-constexpr double kBaseMs = 20;
+constexpr double kBaselineMs = 20;
 
 class InterferenceTest : public testing::Test {
  protected:
-  // A window of ten replicas. The neighbour is beside every second one; the
-  // others have a harmless one.
-  void Observe(const std::string& bad, double raise, double load) {
+  // Observes ten replicas. Every second one has the neighbour `bad`, the others
+  // one with negligible interference. `load` scales all latencies.
+  void Observe(const std::string& bad, double coefficient, double load) {
     this->now += absl::Seconds(10);
-    std::vector<TailSample> samples;
+    std::vector<TailLatencySample> samples;
     for (int i = 0; i < 10; ++i) {
-      const bool beside = i % 2 == 0;
-      const double growth = beside ? raise * 0.25 : 0;
-      samples.push_back(
-          {kBaseMs * load * (1 + growth), {{beside ? bad : "harmless", 0.25}}});
+      const bool is_neighbour = i % 2 == 0;
+      const double growth = is_neighbour ? coefficient * 0.25 : 0;
+      samples.push_back({kBaselineMs * load * (1 + growth),
+                         {{is_neighbour ? bad : "negligible", 0.25}}});
     }
-    this->learned.Observe("s", samples, this->now);
+    this->interference.Observe("s", samples, this->now);
   }
 
-  Interference learned{InterferenceOptions()};
+  Interference interference{InterferenceOptions()};
   absl::Time now = kNow;
 };
 
-// Guards against a bad neighbour that is never found, and against a harmless
-// one that gets its blame.
-TEST_F(InterferenceTest, FindsTheBadNeighbour) {
+// Guards against an interfering neighbour that is not found, and against its
+// interference being attributed to another one.
+TEST_F(InterferenceTest, FindsTheInterferingNeighbour) {
   for (int i = 0; i < 30; ++i)
     this->Observe("bad", 4, 1);
-  EXPECT_NEAR(this->learned.Raise("s", "bad"), 4, 0.4);
-  EXPECT_LT(this->learned.Raise("s", "harmless"), 0.1);
+  EXPECT_NEAR(this->interference.Coefficient("s", "bad"), 4, 0.4);
+  EXPECT_LT(this->interference.Coefficient("s", "negligible"), 0.1);
 }
 
-// Guards against a burst on all workers that is taken for interference.
-TEST_F(InterferenceTest, BurstOnAllWorkersMovesTheBaselineOnly) {
+// Guards against a load burst on all workers that is attributed to neighbours.
+TEST_F(InterferenceTest, BurstOnAllWorkersMovesOnlyTheBaseline) {
   for (int i = 0; i < 30; ++i)
     this->Observe("bad", 1, 1);
-  const double before = this->learned.Raise("s", "bad");
+  const double before = this->interference.Coefficient("s", "bad");
   for (int i = 0; i < 30; ++i)
     this->Observe("bad", 1, 3);
-  EXPECT_NEAR(this->learned.Raise("s", "bad"), before, 0.1);
-  EXPECT_LT(this->learned.Raise("s", "harmless"), 0.1);
-  EXPECT_NEAR(this->learned.Baseline("s"), 3 * kBaseMs, 1);
+  EXPECT_NEAR(this->interference.Coefficient("s", "bad"), before, 0.1);
+  EXPECT_LT(this->interference.Coefficient("s", "negligible"), 0.1);
+  EXPECT_NEAR(this->interference.Baseline("s"), 3 * kBaselineMs, 1);
 }
 
-// Guards against a single slow report that condemns a pair, and against a new
-// pair that ignores what is known of the class.
+// Guards against a new pair of service and neighbour that ignores the mean of
+// the neighbour's class, and against a class mean that ignores the prior: a
+// single slow pair would then count for all services.
 TEST_F(InterferenceTest, PairsStartAtTheMeanOfTheClass) {
   for (int i = 0; i < 30; ++i)
     this->Observe("bad", 4, 1);
-  EXPECT_GT(this->learned.Raise("other", "bad"), 1.5);
-  EXPECT_LT(this->learned.Raise("other", "bad"), 3.5);
-  EXPECT_EQ(this->learned.Evidence("other", "bad"), 0);
-  EXPECT_NEAR(this->learned.Raise("other", "unknown"), 0.3, 0.01);
+  EXPECT_GT(this->interference.Coefficient("other", "bad"), 1.5);
+  EXPECT_LT(this->interference.Coefficient("other", "bad"), 3.5);
+  EXPECT_EQ(this->interference.Confidence("other", "bad"), 0);
+  EXPECT_NEAR(this->interference.Coefficient("other", "unknown"), 0.3, 0.01);
 }
 
 UsageReport MakeReport(const std::string& worker,
@@ -72,8 +73,8 @@
       worker, {16000, 60000, 0}, at, {{"j.1.0", "j", millicores, 500, share}}};
 }
 
-// Guards against declared sizes that are taken for usage, and against learned
-// usage above what a task may have.
+// Guards against declared sizes being used in place of measured usage, and
+// against expected usage above the declared size.
 TEST(UsageTest, ExpectsWhatWasUsedWithinTheDeclaredSize) {
   UsageModel usage((UsageOptions()));
   const Size declared = {4000, 1000, 1};
@@ -85,8 +86,8 @@
   EXPECT_EQ(usage.Expected("j", {500, 100, 0}), (Size{500, 100, 0}));
 }
 
-// Guards against old usage that is never outweighed, a repeated report that
-// counts twice, and throttled tasks that seem small.
+// Guards against old usage that never decays, a repeated report that counts
+// twice, and throttled tasks whose low usage lowers the estimate.
 TEST(UsageTest, DecaysAndIgnoresRepeatedAndThrottled) {
   UsageModel usage((UsageOptions()));
   const Size declared = {9000, 1000, 0};
--- a/task/testing/loop_test.cc
+++ b/task/testing/loop_test.cc
@@ -91,8 +91,9 @@
   std::vector<std::unique_ptr<Agent>> agents;
 };
 
-// Guards against any break in the path from the document to finished work.
-TEST_F(LoopTest, RunsEverythingThatIsDeclared) {
+// Guards against a fault anywhere between the configuration document and
+// finished tasks, with planner and agents together.
+TEST_F(LoopTest, RunsAllDeclaredJobsAndServices) {
   this->Run(absl::Seconds(40));
   EXPECT_EQ(this->Task("plan.1.0").state, TaskState::kBlocked);
   this->Run(absl::Seconds(60));
--- a/task/testing/planner_test.cc
+++ b/task/testing/planner_test.cc
@@ -12,7 +12,7 @@
 
 const absl::Time kNow = FromMicros(1'000'000'000);
 
-// A planner over a picture that the test fills, without a table.
+// A planner whose state the test fills directly, without a table.
 class PlannerTest : public testing::Test {
  protected:
   void AddWorker(const std::string& id, const Size& capacity) {
@@ -38,14 +38,14 @@
     ASSERT_TRUE(this->planner.GetState()->Apply({key, value, ++this->version}));
   }
 
-  std::vector<Batch> Round(size_t most_rows = 80) {
+  std::vector<Batch> Round(size_t max_rows = 80) {
     RoundInput input;
     input.now = kNow;
-    input.most_rows = most_rows;
+    input.max_rows = max_rows;
     return this->planner.Round(input);
   }
 
-  int Placed(const std::string& prefix) {
+  int CountPlaced(const std::string& prefix) {
     int count = 0;
     for (const auto& [id, task] : this->planner.GetState()->Tasks())
       count += id.starts_with(prefix) && task.row.IsPlaced() ? 1 : 0;
@@ -59,29 +59,30 @@
   int64_t created = 0;
 };
 
-// Guards against one account's surge that starves another of the same urgency.
-TEST_F(PlannerTest, AccountsShareWhatIsFree) {
+// Guards against an account with many tasks that starves another one of the
+// same urgency.
+TEST_F(PlannerTest, AccountsShareFreeCapacity) {
   this->AddWorker("w1", {8000, 80000, 0});
   for (int i = 0; i < 50; ++i)
     this->AddTask(StrCat("surge", i), "a", Urgency::kNormal);
   for (int i = 0; i < 4; ++i)
     this->AddTask(StrCat("other", i), "b", Urgency::kNormal);
   this->Round();
-  EXPECT_EQ(this->Placed("surge"), 4);
-  EXPECT_EQ(this->Placed("other"), 4);
+  EXPECT_EQ(this->CountPlaced("surge"), 4);
+  EXPECT_EQ(this->CountPlaced("other"), 4);
 }
 
-// Guards against a flood of the most urgent work that takes everything, and
-// against one of the least urgent that delays the most urgent.
-TEST_F(PlannerTest, UrgentGoesFirstAndBatchKeepsAFloor) {
+// Guards against a flood of urgent work that leaves batch work no capacity, and
+// against a flood of batch work that delays urgent work.
+TEST_F(PlannerTest, UrgentIsPlacedFirstAndBatchKeepsAMinimum) {
   this->AddWorker("w1", {32000, 80000, 0});
   for (int i = 0; i < 100; ++i) {
     this->AddTask(StrCat("batch", i), "a", Urgency::kBatch);
     this->AddTask(StrCat("urgent", i), "a", Urgency::kUrgent);
   }
   this->Round();
-  EXPECT_EQ(this->Placed("urgent"), 28);
-  EXPECT_EQ(this->Placed("batch"), 4);
+  EXPECT_EQ(this->CountPlaced("urgent"), 28);
+  EXPECT_EQ(this->CountPlaced("batch"), 4);
 }
 
 // Guards against batches of one round that write the same row, of which all but
@@ -99,8 +100,8 @@
   EXPECT_EQ(keys.size(), 20u);
 }
 
-// Guards against a round that writes more rows than the store has left.
-TEST_F(PlannerTest, RoundKeepsToItsRows) {
+// Guards against a round that writes more rows than its limit.
+TEST_F(PlannerTest, RoundRespectsItsRowLimit) {
   this->AddWorker("w1", {99000, 99000, 0});
   for (int i = 0; i < 50; ++i)
     this->AddTask(StrCat("t", i), "a", Urgency::kNormal);
@@ -110,9 +111,9 @@
   EXPECT_EQ(rows, 20u);
 }
 
-// Guards against a sample of workers that misses the only one with room, and
-// against accelerators that are taken by work without need for them.
-TEST_F(PlannerTest, FindsTheOnlyWorkerWithRoom) {
+// Guards against a sample of workers that misses the only one with enough free
+// capacity, and against tasks without accelerators on workers that have them.
+TEST_F(PlannerTest, FindsTheOnlyWorkerWithFreeCapacity) {
   for (int i = 0; i < 300; ++i)
     this->AddWorker(StrCat("small", i), {4000, 1000, 0});
   this->AddWorker("large", {4000, 9000, 0});
@@ -122,7 +123,7 @@
   EXPECT_EQ(this->planner.GetState()->FindTask("t")->row.worker, "large");
 }
 
-// Guards against operators who can't see why a task is where it is.
+// Guards against placed and waiting tasks without an explanation.
 TEST_F(PlannerTest, ExplainsPlacementAndWaiting) {
   this->AddWorker("w1", {2000, 80000, 0});
   this->AddTask("placed", "a", Urgency::kNormal, 1500);
@@ -133,14 +134,14 @@
   EXPECT_EQ(placed.scores[0].first, "total");
   EXPECT_EQ(placed.candidates > 0, true);
   EXPECT_NE(this->planner.Explain("waits").value().why.find(
-                "no worker has room for it now"),
+                "no worker has enough free capacity for it now"),
             std::string::npos);
   EXPECT_EQ(this->planner.Explain("absent").error(),
             ExplainError::kUnknownTask);
 }
 
-// Guards against a planner with an older configuration that takes back what a
-// newer one has declared.
+// Guards against a planner with an older configuration that reverts the
+// declarations of a newer one.
 TEST_F(PlannerTest, OlderConfigurationChangesNothing) {
   OwnerRow owner;
   owner.name = "job";
@@ -155,14 +156,14 @@
   EXPECT_TRUE(this->Round().empty());
   this->planner.SetDocument(8, document);
   EXPECT_EQ(this->Round().size(), 1u);
-  // Neither does a lower version that comes late.
+  // A lower version that arrives later changes nothing either.
   this->planner.SetDocument(7, Document());
   EXPECT_TRUE(this->Round().size() <= 1u);
   EXPECT_FALSE(this->planner.GetState()->FindOwner("job")->row.removed);
 }
 
-// Guards against urgent work that waits after a take-over until every row has
-// been read.
+// Guards against urgent work that waits, after another planner takes over,
+// until every row has been read.
 TEST(FollowerTest, ReadsTheNewestTasksFirst) {
   MemoryTable table;
   for (int i = 0; i < 500; ++i)
@@ -187,8 +188,8 @@
   EXPECT_EQ(keys.size(), 502u);
 }
 
-// Guards against two planners that plan the same work all the time, and against
-// a fleet without a planner when the first one stops.
+// Guards against two planners that plan at the same time, and against a fleet
+// without a planner after the leading one stops.
 TEST(PlannerLoopTest, OnePlannerLeadsAndAnotherTakesOver) {
   using Loop =
       PlannerLoop<MemoryTable, BestFitScorer, ManualClock, ManualClock>;
--- a/task/usage.cc
+++ b/task/usage.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Ratio between the bounds of neighbouring buckets; 100 of them reach 10^8.
+// Ratio between the bounds of adjacent buckets; 100 buckets reach 10^8.
 constexpr double kBucketRatio = 1.2;
 
 double DecayOver(absl::Duration time, absl::Duration half_life) {
@@ -22,8 +22,8 @@
     this->newest = at;
   } else if (at > this->newest) {
     const double decay = DecayOver(at - this->newest, this->half_life);
-    for (double& one : this->weights)
-      one *= decay;
+    for (double& bucket_weight : this->weights)
+      bucket_weight *= decay;
     this->newest = at;
   } else {
     weight = DecayOver(this->newest - at, this->half_life);
@@ -37,17 +37,17 @@
 
 double DecayedHistogram::Weight() const {
   double sum = 0;
-  for (const double one : this->weights)
-    sum += one;
+  for (const double bucket_weight : this->weights)
+    sum += bucket_weight;
   return sum;
 }
 
 int64_t DecayedHistogram::Quantile(double quantile) const {
-  const double wanted = quantile * this->Weight();
+  const double target_weight = quantile * this->Weight();
   double sum = 0;
   for (size_t i = 0; i < kBuckets; ++i) {
     sum += this->weights[i];
-    if (sum > 0 && sum >= wanted) {
+    if (sum > 0 && sum >= target_weight) {
       return static_cast<int64_t>(
           std::pow(kBucketRatio, static_cast<double>(i)));
     }
@@ -56,16 +56,17 @@
 }
 
 void UsageModel::Observe(const UsageReport& report) {
-  const auto [known, added] =
-      this->reported.try_emplace(report.worker, absl::InfinitePast());
-  if (report.at <= known->second)
+  const auto [newest_report, added] =
+      this->newest_reports.try_emplace(report.worker, absl::InfinitePast());
+  if (report.at <= newest_report->second)
     return;
-  known->second = report.at;
+  newest_report->second = report.at;
   for (const TaskUsage& task : report.tasks) {
     const auto [found, first] = this->owners.try_emplace(
         task.owner, OwnerUsage{DecayedHistogram(this->options.half_life),
                                DecayedHistogram(this->options.half_life)});
-    // A throttled task says nothing about the processors it would use.
+    // The processor usage of a throttled task does not show what it would use
+    // without the throttle.
     if (task.share >= 1)
       found->second.millicores.Add(task.millicores, report.at);
     found->second.memory_mib.Add(task.memory_mib, report.at);
@@ -77,21 +78,23 @@
   const auto found = this->owners.find(owner);
   if (found == this->owners.end())
     return declared;
-  const auto pick = [&](const DecayedHistogram& histogram, int64_t most) {
-    if (histogram.Weight() < this->options.least_weight)
-      return most;
-    return std::min(most, histogram.Quantile(this->options.expected));
+  const auto estimate = [&](const DecayedHistogram& histogram,
+                            int64_t declared_value) {
+    if (histogram.Weight() < this->options.min_weight)
+      return declared_value;
+    return std::min(declared_value,
+                    histogram.Quantile(this->options.expected_quantile));
   };
-  return {pick(found->second.millicores, declared.millicores),
-          pick(found->second.memory_mib, declared.memory_mib),
+  return {estimate(found->second.millicores, declared.millicores),
+          estimate(found->second.memory_mib, declared.memory_mib),
           declared.accelerators};
 }
 
-void UsageModel::Forget(absl::Time oldest) {
+void UsageModel::DropOlderThan(absl::Time oldest) {
   std::erase_if(this->owners, [&](const auto& item) {
     return item.second.memory_mib.Newest() < oldest;
   });
-  std::erase_if(this->reported,
+  std::erase_if(this->newest_reports,
                 [&](const auto& item) { return item.second < oldest; });
 }
 
--- a/task/usage.h
+++ b/task/usage.h
@@ -1,16 +1,16 @@
 #ifndef TASK_USAGE_H_
 #define TASK_USAGE_H_
 
-// What tasks of a job or service use, learned from late reports.
+// Estimates the resource usage of tasks of a job or service from usage reports,
+// which may be late.
 //
 //   UsageModel usage((UsageOptions()));
 //   usage.Observe(report);
 //   Size likely = usage.Expected("packing-plan", declared);
 //
-// Declared sizes remain the hard limit that placements keep to; what is learned
-// only ranks them. Declared run times are not used at all. Samples are weighted
-// by the time that they were measured at, so that late ones count as what they
-// are.
+// Declared sizes remain the hard limit of placements; estimates only rank
+// placements. Declared run times are not used. Samples are weighted by the age
+// of the measurement, so a late sample counts no more than its age allows.
 
 #include <array>
 #include <cstdint>
@@ -23,10 +23,10 @@
 
 namespace cuminjunction {
 
-// A running task in a worker's report.
+// Usage of a running task in a worker's report.
 struct TaskUsage {
   std::string task;
-  // Job or service that it belongs to.
+  // Job or service that the task belongs to.
   std::string owner;
   int64_t millicores = 0;
   int64_t memory_mib = 0;
@@ -38,7 +38,7 @@
   bool operator==(const TaskUsage&) const = default;
 };
 
-// What ran on a worker at a time. Reports come up to 30 s later.
+// The tasks running on a worker at time `at`. Reports arrive up to 30 s later.
 struct UsageReport {
   std::string worker;
   Size capacity;
@@ -49,26 +49,26 @@
 };
 
 struct UsageOptions {
-  // A sample counts half after this time.
+  // Age at which a sample counts half.
   absl::Duration half_life = absl::Minutes(30);
-  // Samples, as weights, below which the declared size is expected.
-  double least_weight = 5;
-  // The percentile that is expected of a task.
-  double expected = 0.9;
+  // Sum of sample weights below which the declared size is expected.
+  double min_weight = 5;
+  // Quantile of the samples that is expected of a task.
+  double expected_quantile = 0.9;
 };
 
-// Percentiles of values from 1 up, within 10%, with decay.
+// Quantiles of values from 1 up, within 10%, with exponential decay by age.
 class DecayedHistogram {
  public:
   explicit DecayedHistogram(absl::Duration half_life) : half_life(half_life) {}
 
   void Add(int64_t value, absl::Time at);
 
-  // Sum of the weights, as of the newest sample.
+  // Sum of the sample weights at the time of the newest sample.
   double Weight() const;
 
-  // The value below which the share `quantile` of the weight lies; 0 when
-  // empty.
+  // The value below which the share `quantile` of the weight lies. Returns 0
+  // when empty.
   int64_t Quantile(double quantile) const;
 
   absl::Time Newest() const { return this->newest; }
@@ -78,7 +78,7 @@
 
   absl::Duration half_life;
   absl::Time newest = absl::InfinitePast();
-  // Weights as of `newest`.
+  // Weights at the time `newest`.
   std::array<double, kBuckets> weights = {};
 };
 
@@ -86,15 +86,15 @@
  public:
   explicit UsageModel(const UsageOptions& options) : options(options) {}
 
-  // A report that is not newer than the worker's last one is ignored.
+  // Adds a report. Ignored when it is not newer than the worker's last one.
   void Observe(const UsageReport& report);
 
-  // What a task of the owner probably uses at most; never above `declared`, and
-  // `declared` itself while there is too little evidence.
+  // Expected usage of a task of the owner: never above `declared`, and equal to
+  // `declared` while there are too few samples.
   Size Expected(const std::string& owner, const Size& declared) const;
 
   // Drops owners and workers without samples since `oldest`.
-  void Forget(absl::Time oldest);
+  void DropOlderThan(absl::Time oldest);
 
  private:
   struct OwnerUsage {
@@ -104,7 +104,7 @@
 
   UsageOptions options;
   std::map<std::string, OwnerUsage> owners;
-  std::map<std::string, absl::Time> reported;
+  std::map<std::string, absl::Time> newest_reports;
 };
 
 }  // namespace cuminjunction
