--- a/daemon/fleet_planner_load.cc
+++ b/daemon/fleet_planner_load.cc
@@ -133,7 +133,7 @@
       continue;
     }
     const Submission& submission = stored.value().submission;
-    if (IsFinal(stored.value().end)) {
+    if (IsFinal(stored.value().final_state)) {
       this->AddEnded(stored.value(), now, wall);
       continue;
     }
@@ -142,7 +142,7 @@
     if (found_progress != progress.end())
       stored_progress = found_progress->second;
     this->scheduler->Add(submission, stored_progress,
-                         UncertainSince(this->lease.Epoch()), now, wall);
+                         UnresolvedRunsBefore(this->lease.Epoch()), now, wall);
   }
   for (const StoreRow& row : rows_of(kCancellationTable))
     this->scheduler->Cancel(row.key);
@@ -262,7 +262,7 @@
 }
 
 void FleetPlanner::AddSubmissionRow(const StoreRow& row) {
-  if (row.deleted || this->scheduler->Knows(row.key))
+  if (row.deleted || this->scheduler->HasSubmission(row.key))
     return;
   const auto stored = Decode<SubmissionRow>(row.value);
   if (!stored) {
@@ -272,21 +272,23 @@
     return;
   }
   const absl::Time now = BootClock().Now();
-  if (IsFinal(stored.value().end)) {
+  if (IsFinal(stored.value().final_state)) {
     this->AddEnded(stored.value(), now, absl::Now());
     return;
   }
   // The entry may have announced the submission to an earlier planner, which
   // may still reach a worker that this one does not reach.
   this->scheduler->Add(stored.value().submission, std::nullopt,
-                       UncertainSince(this->lease.Epoch()), now, absl::Now());
+                       UnresolvedRunsBefore(this->lease.Epoch()), now,
+                       absl::Now());
 }
 
 void FleetPlanner::AddEnded(const SubmissionRow& row,
                             absl::Time now,
                             absl::Time wall) {
   const absl::Time ended = absl::FromUnixMillis(row.ended_ms);
-  this->scheduler->AddEnded(row.submission.id, row.submission.queue, row.end,
+  this->scheduler->AddEnded(row.submission.id, row.submission.queue,
+                            row.final_state,
                             std::min(now, now - (wall - ended)));
 }
 
--- a/daemon/planner_task.cc
+++ b/daemon/planner_task.cc
@@ -19,7 +19,8 @@
   PlannerLoopOptions options;
   options.process = process;
   options.worker_lease.length = absl::Seconds(settings.worker.lease_s);
-  options.worker_lease.renewal_interval = absl::Seconds(settings.worker.renewal_s);
+  options.worker_lease.renewal_interval =
+      absl::Seconds(settings.worker.renewal_s);
   return options;
 }
 
@@ -47,7 +48,7 @@
       waiting(metrics->GetGauge("planner_waiting_tasks")),
       thread("planner"),
       timer(this->thread.Context()) {
-  this->loop.SetNudge(on_worker_changed);
+  this->loop.SetWorkerChangedCallback(on_worker_changed);
   this->thread.Start();
   this->thread.Post([this] { this->Tick(); });
 }
