--- a/daemon/entry_process.cc
+++ b/daemon/entry_process.cc
@@ -370,7 +370,7 @@
   for (const Shard& shard : this->shards) {
     shard.front->SetUpstreams(endpoints);
     const int64_t rate = kLinkBytesPerSecond / std::max<int64_t>(1, sharers);
-    shard.front->WithPolicy([infos, rate](RoutePolicy* policy) {
+    shard.front->RunWithPolicy([infos, rate](RoutePolicy* policy) {
       auto* chooser = static_cast<ChooserPolicy*>(policy);
       chooser->SetMembers(infos, absl::Now());
       chooser->SetLinkRate(rate, absl::Now());
--- a/request/agent_calls.h
+++ b/request/agent_calls.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_AGENT_CALLS_H_
 #define REQUEST_AGENT_CALLS_H_
 
-// Internal to the agent: the numbers of its calls and how a call is made from
-// a Submit.
+// Internal to the agent: the reserved call number of the health check and the
+// conversion of a Submit into an HTTP call to the upstream.
 
 #include <cstdint>
 
@@ -11,11 +11,12 @@
 
 namespace cuminjunction {
 
-// The number of the probe among the calls; attempts count from 1.
-inline constexpr uint64_t kProbeCall = 0;
+// Call number of the health check. The calls of attempts are numbered from 1.
+inline constexpr uint64_t kHealthCheckCall = 0;
 
-// The call to the upstream, with the body bytes that came with the Submit. The
-// headers name the attempt and the deadline.
+// Returns the call to the upstream, with the body bytes that the Submit
+// contains. Adds headers with the request id, the attempt and the deadline in
+// milliseconds since the Unix epoch.
 inline HttpCall MakeCall(Submit&& submit) {
   HttpCall call;
   call.method = std::move(submit.method);
--- a/request/agent_links.cc
+++ b/request/agent_links.cc
@@ -1,4 +1,4 @@
-// Connections of the agent: listening, peers, leaving and the end.
+// Connections of the agent: listening, peers, leaving and shutdown.
 
 #include <boost/asio/ip/address.hpp>
 
@@ -73,7 +73,7 @@
         this->OnAnswer(call, std::move(answer));
       });
   this->Accept();
-  this->Suspect();
+  this->StartHealthCheck();
   return this->acceptor.local_endpoint(error).port();
 }
 
@@ -123,27 +123,27 @@
 }
 
 void AgentServer::ClosePeer(Link* link, std::error_code error) {
-  // The caller may be a function of the link.
+  // The link may be on the call stack, so it must outlive this call.
   const std::shared_ptr<Link> kept = link->shared_from_this();
   link->Close();
   this->OnClosed(link, error);
 }
 
 void AgentServer::OnClosed(Link* link, std::error_code error) {
-  if (IsDamage(error)) {
+  if (IsProtocolError(error)) {
     this->damaged_total.Add();
     this->log->Write(
         LogLine("agent_link_damaged", LogLevel::kWarning).Add("error", error));
   }
   this->peers.erase(link);
-  this->DropAttemptsOf(link);
+  this->RefuseWaitingOfLink(link);
   if (this->leaving)
-    this->EndLeavingIfIdle();
+    this->FinishLeavingIfIdle();
 }
 
-// Attempts that wait are dropped, since their entry reports them as unknown
-// and nobody awaits the answer; those that run go on.
-void AgentServer::DropAttemptsOf(Link* link) {
+// Refuses the waiting attempts of a lost connection: their entry has reported
+// them as unknown and awaits no answer. Running attempts continue.
+void AgentServer::RefuseWaitingOfLink(Link* link) {
   const absl::Time now = absl::Now();
   std::vector<uint64_t> waiting;
   for (const auto& [handle, attempt] : this->attempts) {
@@ -161,14 +161,15 @@
   this->leave_done = std::move(done);
   for (const auto& [link, peer] : this->peers)
     link->Send(Leaving{});
-  this->Announce();
-  this->EndLeavingIfIdle();
+  this->UpdateState();
+  this->FinishLeavingIfIdle();
 }
 
-// A Submit may be on its way on a connection that is still open, and closing
-// it would leave that attempt unknown. So the agent waits until the entries
-// have closed their connections.
-void AgentServer::EndLeavingIfIdle() {
+// A Submit may be in flight on a connection that is still open. Closing the
+// connection would leave the outcome of that attempt unknown, so the agent
+// waits until the entries have closed their connections or leave_linger_ms has
+// passed.
+void AgentServer::FinishLeavingIfIdle() {
   if (!this->attempts.empty() || !this->leave_done)
     return;
   if (this->peers.empty()) {
--- a/request/agent_probe.cc
+++ b/request/agent_probe.cc
@@ -1,33 +1,33 @@
-// What the agent knows about its upstream, and the probes that tell.
+// Health check of the upstream and the announced state of the agent.
 
 #include "request/agent_calls.h"
 #include "request/agent_server.h"
 
 namespace cuminjunction {
 
-// Holds new calls back until a probe has told whether the upstream is up. A
-// connection that breaks may be the fault of one request alone, so that it is
-// no reason yet to refuse the others.
-void AgentServer::Suspect() {
-  if (this->probing)
+// Suspends new calls until a health check has shown whether the upstream is up.
+// A single request may have caused a broken connection, so that alone is no
+// reason to refuse the other requests.
+void AgentServer::StartHealthCheck() {
+  if (this->awaiting_health_check)
     return;
-  this->probing = true;
+  this->awaiting_health_check = true;
   this->probe_timer.cancel();
-  this->SendProbe();
+  this->SendHealthCheck();
 }
 
-void AgentServer::SendProbe() {
+void AgentServer::SendHealthCheck() {
   HttpCall call;
   call.method = "GET";
   call.path = this->options.probe_path;
   call.idempotent = true;
   call.timeout = absl::Milliseconds(this->options.probe_timeout_ms);
-  this->caller->Start(kProbeCall, std::move(call));
+  this->caller->Start(kHealthCheckCall, std::move(call));
 }
 
-void AgentServer::OnProbeAnswer(const HttpAnswer& answer) {
+void AgentServer::OnHealthCheckAnswer(const HttpAnswer& answer) {
   const bool up = answer.result == CallResult::kAnswered;
-  this->probing = false;
+  this->awaiting_health_check = false;
   this->SetUpstreamUp(up);
   const absl::Time now = absl::Now();
   if (up) {
@@ -39,7 +39,7 @@
       std::chrono::milliseconds(this->options.probe_interval_ms));
   this->probe_timer.async_wait([this](std::error_code error) {
     if (!error)
-      this->SendProbe();
+      this->SendHealthCheck();
   });
 }
 
@@ -47,10 +47,10 @@
   if (this->upstream_up == up)
     return;
   this->upstream_up = up;
-  this->Announce();
+  this->UpdateState();
 }
 
-void AgentServer::Announce() {
+void AgentServer::UpdateState() {
   AgentState next = this->upstream_up ? AgentState::kUp : AgentState::kDown;
   if (this->leaving)
     next = AgentState::kLeaving;
--- a/request/agent_server.cc
+++ b/request/agent_server.cc
@@ -9,15 +9,15 @@
 
 namespace {
 
-// A deadline further ahead is treated as this far, which bounds how long an id
-// is remembered.
-constexpr absl::Duration kMaxDeadlineAhead = absl::Hours(1);
+// Later deadlines are reduced to this time from now, which limits how long a
+// tombstone is kept.
+constexpr absl::Duration kMaxTimeToDeadline = absl::Hours(1);
 
-absl::Time DeadlineOf(int64_t deadline_us, absl::Time now) {
-  return std::min(FromMicros(deadline_us), now + kMaxDeadlineAhead);
+absl::Time LimitDeadline(int64_t deadline_us, absl::Time now) {
+  return std::min(FromMicros(deadline_us), now + kMaxTimeToDeadline);
 }
 
-BrokenReason ReasonOf(CallResult result) {
+BrokenReason ToBrokenReason(CallResult result) {
   switch (result) {
     case CallResult::kTooLarge:
       return BrokenReason::kTooLarge;
@@ -55,7 +55,7 @@
     return;
   }
   const absl::Time now = absl::Now();
-  const absl::Time deadline = DeadlineOf(submit.deadline_us, now);
+  const absl::Time deadline = LimitDeadline(submit.deadline_us, now);
   Link* link = peer->link.get();
   switch (this->tombstones.Admit(submit.id, deadline, now)) {
     case Tombstones::Verdict::kDuplicate:
@@ -95,7 +95,7 @@
 
 void AgentServer::Handle(Peer* peer, BodyChunk&& chunk) {
   const auto found = this->handles.find(chunk.id);
-  // The chunks of an attempt that was refused are still on their way.
+  // Chunks of a refused attempt may still arrive.
   if (found == this->handles.end())
     return;
   const uint64_t handle = found->second;
@@ -126,15 +126,16 @@
     this->caller->Abort(handle);
     this->queue->FinishAttempt(handle, now - attempt.started, now);
     this->SendBroken(attempt, BrokenReason::kCancelled, now);
-    this->Remove(handle);
+    this->EraseAttempt(handle);
     this->StartNext(now);
     return;
   }
-  const absl::Time deadline = DeadlineOf(cancel.deadline_us, now);
-  // The id may have been forgotten by now, so nothing is certain about it.
+  const absl::Time deadline = LimitDeadline(cancel.deadline_us, now);
+  // The tombstone may have expired, so the agent can't know whether the attempt
+  // has run.
   if (now > deadline + kMaxClockSkew)
     return;
-  // An id that was admitted and is gone has had its answer.
+  // An admitted attempt that no longer exists was already answered.
   if (this->tombstones.Admit(cancel.id, deadline, now) !=
       Tombstones::Verdict::kDuplicate) {
     this->Refuse(peer->link.get(), cancel.id, deadline, Refusal::kTombstone,
@@ -146,11 +147,11 @@
   this->duplicates_total.Add();
   const auto found = this->handles.find(id);
   if (found != this->handles.end()) {
-    // The entry has come back on another connection: the answer goes there.
+    // The entry has reconnected, so the answer is sent on the new connection.
     this->attempts[found->second]->link = peer->link;
     return;
   }
-  // It has ended, and its answer is not kept.
+  // The attempt has ended, and its answer is not stored.
   peer->link->Send(
       AnswerBroken{id, BrokenReason::kCutOff, this->queue->Load(absl::Now())});
 }
@@ -161,7 +162,7 @@
     return Refusal::kLeaving;
   if (!this->ServesService(submit.service))
     return Refusal::kUnknownService;
-  if (!this->upstream_up && !this->probing)
+  if (!this->upstream_up && !this->awaiting_health_check)
     return Refusal::kUpstreamDown;
   if (this->held_body_bytes + submit.body_size > this->options.max_body_bytes ||
       peer.link->PendingBytes() > this->options.max_link_bytes)
@@ -187,7 +188,7 @@
 }
 
 void AgentServer::StartNext(absl::Time now) {
-  if (!this->upstream_up || this->probing)
+  if (!this->upstream_up || this->awaiting_health_check)
     return;
   while (const std::optional<PoppedAttempt> popped = this->queue->Pop(now)) {
     const uint64_t handle = popped->handle;
@@ -200,7 +201,8 @@
     if (found == this->attempts.end())
       continue;
     if (expired || popped->refusal != Refusal::kNone) {
-      // The queue no longer holds it.
+      // Pop() has removed the attempt from the queue, so RefuseWaiting() must
+      // not remove it again.
       found->second->phase = Phase::kReceiving;
       this->RefuseWaiting(handle,
                           expired ? Refusal::kDeadline : popped->refusal, now);
@@ -219,8 +221,8 @@
 }
 
 void AgentServer::OnAnswer(uint64_t handle, HttpAnswer&& answer) {
-  if (handle == kProbeCall) {
-    this->OnProbeAnswer(answer);
+  if (handle == kHealthCheckCall) {
+    this->OnHealthCheckAnswer(answer);
     return;
   }
   const auto found = this->attempts.find(handle);
@@ -235,13 +237,13 @@
   if (result == CallResult::kAnswered)
     this->SendAnswer(attempt, std::move(answer), now);
   else if (ran)
-    this->SendBroken(attempt, ReasonOf(result), now);
+    this->SendBroken(attempt, ToBrokenReason(result), now);
   else
     this->Refuse(attempt.link.get(), attempt.id, attempt.deadline,
                  Refusal::kUpstreamDown, now);
-  this->Remove(handle);
+  this->EraseAttempt(handle);
   if (result == CallResult::kNotStarted || result == CallResult::kCutOff)
-    this->Suspect();
+    this->StartHealthCheck();
   this->StartNext(now);
 }
 
@@ -299,7 +301,7 @@
   if (attempt.phase == Phase::kQueued)
     this->queue->RemoveWaiting(handle);
   this->Refuse(attempt.link.get(), attempt.id, attempt.deadline, reason, now);
-  this->Remove(handle);
+  this->EraseAttempt(handle);
 }
 
 void AgentServer::RefuseAllWaiting(Refusal reason, absl::Time now) {
@@ -312,7 +314,7 @@
     this->RefuseWaiting(handle, reason, now);
 }
 
-void AgentServer::Remove(uint64_t handle) {
+void AgentServer::EraseAttempt(uint64_t handle) {
   const auto found = this->attempts.find(handle);
   this->held_body_bytes -= found->second->body_size;
   this->handles.erase(found->second->id);
@@ -321,14 +323,14 @@
     return this->attempts.contains(key);
   });
   if (this->leaving)
-    this->EndLeavingIfIdle();
+    this->FinishLeavingIfIdle();
 }
 
 void AgentServer::ArmDeadlineTimer() {
   const absl::Time next = this->deadlines.Next();
-  if (next >= this->armed)
+  if (next >= this->armed_deadline)
     return;
-  this->armed = next;
+  this->armed_deadline = next;
   this->deadline_timer.expires_after(
       absl::ToChronoMicroseconds(next - absl::Now()));
   this->deadline_timer.async_wait([this](std::error_code error) {
@@ -339,10 +341,10 @@
 
 void AgentServer::OnDeadlineTimer() {
   const absl::Time now = absl::Now();
-  this->armed = absl::InfiniteFuture();
+  this->armed_deadline = absl::InfiniteFuture();
   while (const std::optional<uint64_t> handle = this->deadlines.PopDue(now)) {
     const auto found = this->attempts.find(*handle);
-    // A call that runs has a timeout of its own.
+    // A running call has its own timeout.
     if (found != this->attempts.end() &&
         found->second->phase != Phase::kRunning)
       this->RefuseWaiting(*handle, Refusal::kDeadline, now);
--- a/request/agent_server.h
+++ b/request/agent_server.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_AGENT_SERVER_H_
 #define REQUEST_AGENT_SERVER_H_
 
-// The agent beside an upstream: takes attempts from entries over framed TCP,
-// queues them and calls the upstream.
+// The agent of an upstream. It receives attempts from entries over framed TCP,
+// queues them and forwards them to the upstream over HTTP.
 //
 //   EventThread thread("agent");
 //   thread.Start();
@@ -39,35 +39,35 @@
 
 struct AgentOptions {
   // Name and incarnation that membership announces. The incarnation is above 0
-  // and grows with each start.
+  // and increases with each start.
   std::string process;
   uint64_t incarnation = 1;
-  // Address to listen on for entries; port 0 lets the system choose.
+  // Address to listen on for entries; port 0 selects a free port.
   std::string host = "127.0.0.1";
   uint16_t port = 0;
   // Names of the services that the upstream serves; empty accepts every name.
   std::vector<std::string> services;
   HttpCallerOptions upstream;
-  // The most connections from entries; one more is closed at once.
+  // The most connections from entries. Further ones are closed immediately.
   size_t max_links = 256;
-  // The most bytes of request bodies held for attempts that have not ended.
+  // The most bytes of request bodies of attempts that have not ended.
   size_t max_body_bytes = 64 * 1024 * 1024;
-  // The most bytes that wait for one entry to read them. Beyond them its new
-  // attempts are refused, beyond twice as many its connection is closed.
+  // The most bytes queued for writing to one entry. Above this limit its new
+  // attempts are refused; above twice the limit its connection is closed.
   size_t max_link_bytes = 32 * 1024 * 1024;
-  // Path of the probe that finds out whether the upstream is back, the time
-  // between probes and the time a probe may take, in milliseconds.
+  // Path of the health check of the upstream, the interval between checks while
+  // the upstream is down and the timeout of a check, in milliseconds.
   std::string probe_path = "/";
   int probe_interval_ms = 500;
   int probe_timeout_ms = 1000;
-  // How long a new connection may take to say Hello, in milliseconds.
+  // Timeout for the Hello of a new connection, in milliseconds.
   int hello_timeout_ms = 5000;
-  // How long entries may take to close their connections after the last
-  // request in flight of an agent that leaves, in milliseconds.
+  // Time that entries have to close their connections to a leaving agent after
+  // its last request in flight, in milliseconds.
   int leave_linger_ms = 1000;
 };
 
-// What the agent announces about its upstream.
+// State of the upstream as the agent announces it.
 enum class AgentState : uint8_t { kDown, kUp, kLeaving };
 
 class AgentServer : public LinkHandler {
@@ -82,16 +82,16 @@
   AgentServer(const AgentServer&) = delete;
   AgentServer& operator=(const AgentServer&) = delete;
 
-  // Listens and probes the upstream. Returns the port, or the error of the
-  // system.
+  // Listens and starts the health check of the upstream. Returns the port, or
+  // the system error.
   Result<uint16_t> Start();
 
-  // Refuses new work from now on. Calls `done` on the agent's thread once the
-  // last attempt has ended and its answer is written.
+  // Refuses new attempts from now on. Calls `done` on the agent's thread once
+  // the last attempt has ended and its answer is written.
   void Leave(std::function<void()> done);
 
-  // Closes all sockets. Attempts that have not ended are cut off; call Leave()
-  // before to avoid that.
+  // Closes all sockets. Attempts that have not ended are aborted; call Leave()
+  // first to avoid that.
   void Stop();
 
   AgentState State() const { return this->state.load(); }
@@ -112,7 +112,7 @@
 
   struct Peer {
     std::shared_ptr<Link> link;
-    // 0 until its Hello has arrived.
+    // 0 until Hello is received.
     uint64_t incarnation = 0;
     absl::Time hello_deadline;
   };
@@ -126,10 +126,10 @@
   void Accept();
   void AddPeer(boost::asio::ip::tcp::socket socket);
   void ClosePeer(Link* link, std::error_code error);
-  void DropAttemptsOf(Link* link);
+  void RefuseWaitingOfLink(Link* link);
   void Handle(Peer* peer, Hello&& hello);
   void BeginLeaving(std::function<void()> done);
-  void EndLeavingIfIdle();
+  void FinishLeavingIfIdle();
   void FinishLeaving();
   void CloseAll();
 
@@ -137,7 +137,7 @@
   void Handle(Peer* peer, Submit&& submit);
   void Handle(Peer* peer, BodyChunk&& chunk);
   void Handle(Peer* peer, CancelAttempt&& cancel);
-  // Messages that only an agent sends.
+  // Rejects messages that only an agent may send.
   template <class T>
   void Handle(Peer* peer, T&& message);
   void HandleDuplicate(Peer* peer, const AttemptId& id);
@@ -156,16 +156,16 @@
               absl::Time now);
   void RefuseWaiting(uint64_t handle, Refusal reason, absl::Time now);
   void RefuseAllWaiting(Refusal reason, absl::Time now);
-  void Remove(uint64_t handle);
+  void EraseAttempt(uint64_t handle);
   void ArmDeadlineTimer();
   void OnDeadlineTimer();
 
-  // State of the upstream (agent_probe.cc).
-  void Suspect();
-  void SendProbe();
-  void OnProbeAnswer(const HttpAnswer& answer);
+  // Health check of the upstream (agent_probe.cc).
+  void StartHealthCheck();
+  void SendHealthCheck();
+  void OnHealthCheckAnswer(const HttpAnswer& answer);
   void SetUpstreamUp(bool up);
-  void Announce();
+  void UpdateState();
 
   EventThread* thread;
   AgentOptions options;
@@ -184,12 +184,12 @@
   size_t held_body_bytes = 0;
   Tombstones tombstones;
   TimerQueue<uint64_t> deadlines;
-  absl::Time armed = absl::InfiniteFuture();
+  absl::Time armed_deadline = absl::InfiniteFuture();
 
-  // The upstream answered its last probe.
+  // The last health check succeeded.
   bool upstream_up = false;
-  // A probe runs and no new call starts until it has answered.
-  bool probing = false;
+  // New calls are suspended until the running health check has completed.
+  bool awaiting_health_check = false;
   bool leaving = false;
   std::function<void()> leave_done;
   std::atomic<AgentState> state = AgentState::kDown;
--- a/request/chooser_policy.h
+++ b/request/chooser_policy.h
@@ -6,7 +6,7 @@
 //
 //   auto policy = std::make_unique<ChooserPolicy>(settings, seed);
 //   EntryFront shard(&thread, options, &chart, std::move(policy), ...);
-//   shard.WithPolicy([infos](RoutePolicy* policy) {
+//   shard.RunWithPolicy([infos](RoutePolicy* policy) {
 //     static_cast<ChooserPolicy*>(policy)->SetMembers(infos, absl::Now());
 //   });
 
--- a/request/entry_front.cc
+++ b/request/entry_front.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// How often a draining shard looks whether it is idle.
-constexpr std::chrono::milliseconds kDrainPoll(10);
+// Interval at which a draining shard checks whether it is idle.
+constexpr std::chrono::milliseconds kDrainCheckInterval(10);
 
 EntryError ErrorOf(HttpLimit limit) {
   switch (limit) {
@@ -25,9 +25,9 @@
   }
 }
 
-// Callers that have begun to open a connection get this long to finish; a few
-// round trips between regions.
-constexpr absl::Duration kHandshakeTime = absl::Milliseconds(100);
+// Time for callers to complete a TCP handshake that has begun: a few round
+// trips between regions.
+constexpr absl::Duration kHandshakeTimeout = absl::Milliseconds(100);
 
 }  // namespace
 
@@ -47,7 +47,7 @@
       timer(thread->Context()),
       drain_timer(thread->Context()),
       document(std::make_shared<const Document>()),
-      decisions(this->options.decisions_kept),
+      decisions(this->options.max_decisions),
       answered_total(
           metrics->GetCounter("requests_total", "outcome=\"answered\"")),
       not_run_total(
@@ -60,7 +60,7 @@
       late_total(metrics->GetCounter("late_answers_total")),
       damaged_total(metrics->GetCounter("entry_links_damaged_total")),
       // One for each shard, so that shards share no lock.
-      seconds(
+      latency_seconds(
           metrics->GetSummary("request_seconds",
                               StrCat("shard=\"", this->options.shard, "\""))) {
   this->front = std::make_unique<HttpFront>(
@@ -86,9 +86,9 @@
   });
 }
 
-void EntryFront::WithPolicy(std::function<void(RoutePolicy*)> message) {
+void EntryFront::RunWithPolicy(std::function<void(RoutePolicy*)> callback) {
   this->thread->Post(
-      [this, message = std::move(message)] { message(this->policy.get()); });
+      [this, callback = std::move(callback)] { callback(this->policy.get()); });
 }
 
 void EntryFront::Drain(std::function<void()> done) {
@@ -137,17 +137,17 @@
   this->timers.Add(added->head.deadline, {id.number, TimerKind::kDeadline});
   this->ArmTimer();
   if (!added->head.idempotent && !added->head.idempotency_key.empty())
-    this->Claim(added);
+    this->ClaimKey(added);
   else
     this->Route(added, SendReason::kFirst);
 }
 
-void EntryFront::Claim(Request* request) {
+void EntryFront::ClaimKey(Request* request) {
   if (this->claims == nullptr) {
     this->FailWith(request, EntryError::kKeyStoreDown, "");
     return;
   }
-  request->claiming = true;
+  request->claim_pending = true;
   const uint64_t number = request->id.number;
   this->claims->Claim(request->head.request_class.account,
                       request->head.idempotency_key, request->id,
@@ -163,14 +163,14 @@
 
 void EntryFront::OnClaimed(uint64_t number, ClaimResult result) {
   const auto found = this->requests.find(number);
-  // The deadline has passed, and Release() was called.
+  // The request ended while the claim was pending, and Release() was called.
   if (found == this->requests.end())
     return;
   Request* request = found->second.get();
-  request->claiming = false;
+  request->claim_pending = false;
   switch (result) {
     case ClaimResult::kClaimed:
-      request->claimed = true;
+      request->claim_held = true;
       this->Route(request, SendReason::kFirst);
       return;
     case ClaimResult::kTaken:
@@ -187,11 +187,13 @@
                           std::string_view detail) {
   const Outcome outcome = request->attempts.GiveUp();
   this->LogOutcome(*request, outcome, CodeOf(error));
-  this->Finish(request, MakeErrorReply(error, outcome, request->id, detail),
-               outcome);
+  this->FinishRequest(
+      request, MakeErrorReply(error, outcome, request->id, detail), outcome);
 }
 
-void EntryFront::Finish(Request* request, HttpReply&& reply, Outcome outcome) {
+void EntryFront::FinishRequest(Request* request,
+                               HttpReply&& reply,
+                               Outcome outcome) {
   switch (outcome) {
     case Outcome::kAnswered:
       this->answered_total.Add();
@@ -204,7 +206,7 @@
       break;
   }
   const absl::Time now = absl::Now();
-  this->seconds.Observe(absl::ToDoubleSeconds(now - request->arrived));
+  this->latency_seconds.Observe(absl::ToDoubleSeconds(now - request->arrived));
   if (!request->cancelling)
     this->CancelOutstanding(request);
   while (!request->outstanding.empty()) {
@@ -214,7 +216,7 @@
     this->RemoveAttempt(request, attempt.number);
   }
   if (this->claims != nullptr && outcome == Outcome::kNotRun &&
-      (request->claimed || request->claiming)) {
+      (request->claim_held || request->claim_pending)) {
     this->claims->Release(request->head.request_class.account,
                           request->head.idempotency_key, request->id);
   }
@@ -228,9 +230,9 @@
 
 void EntryFront::ArmTimer() {
   const absl::Time next = this->timers.Next();
-  if (next >= this->armed)
+  if (next >= this->armed_time)
     return;
-  this->armed = next;
+  this->armed_time = next;
   this->timer.expires_after(absl::ToChronoMicroseconds(next - absl::Now()));
   this->timer.async_wait([this](std::error_code error) {
     if (!error && !this->stopped)
@@ -240,7 +242,7 @@
 
 void EntryFront::OnTimer() {
   const absl::Time now = absl::Now();
-  this->armed = absl::InfiniteFuture();
+  this->armed_time = absl::InfiniteFuture();
   while (const std::optional<TimerKey> key = this->timers.PopDue(now)) {
     const auto found = this->requests.find(key->number);
     if (found == this->requests.end())
@@ -251,78 +253,80 @@
         this->OnDeadline(request);
         break;
       case TimerKind::kHedge:
-        this->Hedge(request);
+        this->SendHedge(request);
         break;
-      case TimerKind::kGrace:
-        this->OnGraceEnded(request);
+      case TimerKind::kCancelGrace:
+        this->OnCancelGraceExpired(request);
         break;
     }
   }
   this->ArmTimer();
 }
 
-// The agents are asked to cancel what has not started. Their refusals make it
-// certain that the request was not run; the wait for them is short.
+// Asks the agents to cancel the outstanding attempts. Refusals from all of them
+// prove that the request has not run. The wait for them is limited to
+// cancel_grace_ms.
 void EntryFront::OnDeadline(Request* request) {
   if (request->outstanding.empty()) {
-    this->EndUnanswered(request);
+    this->FailUnanswered(request);
     return;
   }
   request->cancelling = true;
   this->CancelOutstanding(request);
   this->timers.Add(
       absl::Now() + absl::Milliseconds(this->options.cancel_grace_ms),
-      {request->id.number, TimerKind::kGrace});
+      {request->id.number, TimerKind::kCancelGrace});
 }
 
-void EntryFront::OnGraceEnded(Request* request) {
-  this->EndUnanswered(request);
+void EntryFront::OnCancelGraceExpired(Request* request) {
+  this->FailUnanswered(request);
 }
 
 void EntryFront::BeginDrain(std::function<void()> done) {
   if (this->drain_done)
     return;
   this->drain_done = std::move(done);
-  this->drain_until =
+  this->drain_deadline =
       absl::Now() + absl::Milliseconds(this->options.drain_grace_ms);
   this->front->CloseConnectionsAfterAnswers();
-  this->PollDrain();
+  this->ScheduleDrainCheck();
 }
 
-void EntryFront::PollDrain() {
-  this->drain_timer.expires_after(kDrainPoll);
+void EntryFront::ScheduleDrainCheck() {
+  this->drain_timer.expires_after(kDrainCheckInterval);
   this->drain_timer.async_wait([this](std::error_code error) {
     if (!error && !this->stopped)
-      this->StepDrain(absl::Now());
+      this->AdvanceDrain(absl::Now());
   });
 }
 
-// Callers with a connection of their own learn of the end by the header
-// "Connection: close" of an answer, so connections end without a request on
-// its way, but for those that are idle all through the grace period.
-void EntryFront::StepDrain(absl::Time now) {
-  if (now >= this->drain_until && this->drain_until != absl::InfinitePast()) {
-    this->drain_until = absl::InfinitePast();
-    this->listen_until = now + kHandshakeTime;
+// Callers with a persistent connection receive an answer with the header
+// "Connection: close" and close it, so no request is lost in flight. Only
+// connections that are idle throughout the grace period receive no such header.
+void EntryFront::AdvanceDrain(absl::Time now) {
+  if (now >= this->drain_deadline &&
+      this->drain_deadline != absl::InfinitePast()) {
+    this->drain_deadline = absl::InfinitePast();
+    this->listen_deadline = now + kHandshakeTimeout;
     this->front->IgnoreNewConnections();
   }
-  if (now >= this->listen_until &&
-      this->linger_until == absl::InfiniteFuture()) {
-    this->linger_until =
+  if (now >= this->listen_deadline &&
+      this->linger_deadline == absl::InfiniteFuture()) {
+    this->linger_deadline =
         now + absl::Milliseconds(this->options.drain_linger_ms);
     this->front->StopListening();
   }
   const bool is_idle = this->requests.empty() && this->front->OpenCount() == 0;
-  const bool is_silent =
-      this->front->ConnectionCount() == 0 || now >= this->linger_until;
-  const bool is_closed = this->linger_until != absl::InfiniteFuture();
-  if (is_closed && is_idle && is_silent)
-    this->EndDrain();
+  const bool connections_done =
+      this->front->ConnectionCount() == 0 || now >= this->linger_deadline;
+  const bool is_closed = this->linger_deadline != absl::InfiniteFuture();
+  if (is_closed && is_idle && connections_done)
+    this->FinishDrain();
   else
-    this->PollDrain();
+    this->ScheduleDrainCheck();
 }
 
-void EntryFront::EndDrain() {
+void EntryFront::FinishDrain() {
   const std::function<void()> done = std::move(this->drain_done);
   this->drain_done = nullptr;
   done();
@@ -339,14 +343,16 @@
     open.push_back(number);
   for (const uint64_t number : open) {
     Request* request = this->requests[number].get();
-    const bool is_certain = request->attempts.GiveUp() == Outcome::kNotRun;
+    const bool certainly_not_run =
+        request->attempts.GiveUp() == Outcome::kNotRun;
     this->FailWith(
-        request, is_certain ? EntryError::kStopping : EntryError::kBroken, "");
+        request,
+        certainly_not_run ? EntryError::kStopping : EntryError::kBroken, "");
   }
   std::vector<std::shared_ptr<Agent>> closing;
   for (const auto& [name, agent] : this->agents)
     closing.push_back(agent);
-  for (const auto& [link, agent] : this->by_link)
+  for (const auto& [link, agent] : this->agents_by_link)
     closing.push_back(agent);
   for (const std::shared_ptr<Agent>& agent : closing)
     this->CloseAgent(agent.get());
--- a/request/entry_front.h
+++ b/request/entry_front.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_ENTRY_FRONT_H_
 #define REQUEST_ENTRY_FRONT_H_
 
-// One shard of an entry: takes requests over HTTP and has them answered by
-// agents. A request never leaves the thread of its shard.
+// One shard of an entry. It receives requests over HTTP, sends them to agents
+// and returns the answers. A request stays on the thread of its shard.
 //
 //   EventThread thread("entry0");
 //   thread.Start();
@@ -44,31 +44,32 @@
 
 struct EntryOptions {
   // Name and incarnation of the entry process. The incarnation is above 0 and
-  // grows with each start; all shards of a process share it.
+  // increases with each start; all shards of a process share it.
   std::string process;
   uint64_t incarnation = 1;
   // Number of this shard, below kMaxShards. The lowest bits of a request's
-  // number are the shard that took it.
+  // number identify the shard that received it.
   uint32_t shard = 0;
   HttpFrontOptions http;
   // The most attempts of one request.
   uint32_t max_attempts = 3;
-  // How long an agent may take to confirm a cancellation after the deadline,
-  // in milliseconds. A confirmation makes the outcome certain.
+  // Time that an agent has to confirm a cancellation after the deadline, in
+  // milliseconds. A confirmed cancellation has the outcome not-run, not
+  // unknown.
   int cancel_grace_ms = 50;
-  // Time from a lost connection to the next try to connect to the agent, in
-  // milliseconds. It doubles with each failure up to kMaxReconnectMs.
-  int reconnect_ms = 100;
-  // How long an agent may take to accept a connection and say Hello, in
+  // Delay before reconnecting to an agent, in milliseconds. It doubles with
+  // each failure up to kMaxReconnectMs.
+  int initial_reconnect_ms = 100;
+  // Timeout for connecting to an agent and receiving its Hello, in
   // milliseconds.
   int connect_timeout_ms = 2000;
-  // The most bytes that wait for one agent to read them. Beyond them it gets
+  // The most bytes queued for writing to one agent. Above this limit it is sent
   // no new attempts.
   size_t max_link_bytes = 32 * 1024 * 1024;
-  // Routing decisions kept for explain.
-  size_t decisions_kept = 4096;
-  // How long a draining shard takes new connections and requests, and how long
-  // it then waits for connections without a request in flight, in
+  // Number of routing decisions kept for Explain().
+  size_t max_decisions = 4096;
+  // Time for which a draining shard still accepts new connections and requests,
+  // and time for which it then waits for idle connections to close, in
   // milliseconds.
   int drain_grace_ms = 1000;
   int drain_linger_ms = 1000;
@@ -93,39 +94,39 @@
   EntryFront(const EntryFront&) = delete;
   EntryFront& operator=(const EntryFront&) = delete;
 
-  // Listens. Returns the port, or kCannotListen.
+  // Starts listening. Returns the port, or kCannotListen.
   Result<uint16_t> Start();
 
-  // The document in force for requests that arrive from now on.
+  // Sets the configuration for requests that arrive from now on.
   void SetDocument(std::shared_ptr<const Document> document);
 
-  // The agents to keep connections to. Connections to others end with their
-  // last attempt.
+  // Sets the agents to stay connected to. Connections to other agents are
+  // closed after their last attempt.
   void SetUpstreams(std::vector<UpstreamEndpoint> upstreams);
 
-  // Runs `message` with the policy on the thread of the shard.
-  void WithPolicy(std::function<void(RoutePolicy*)> message);
+  // Calls `callback` with the policy on the thread of the shard.
+  void RunWithPolicy(std::function<void(RoutePolicy*)> callback);
 
-  // Answers on for a grace period, then accepts no connection any more and
-  // calls `done` on the shard's thread once the last request in flight is
-  // answered and its connection has ended.
+  // Accepts requests for a grace period, then stops listening. Calls `done` on
+  // the shard's thread once the last request in flight is answered and its
+  // connection is closed.
   void Drain(std::function<void()> done);
 
-  // Answers all open requests with what is certain about them and closes all
-  // sockets.
+  // Answers all open requests with the outcome known so far, not-run or
+  // unknown, and closes all sockets.
   void Stop();
 
-  // The decisions about a request that are still kept, as JSON objects.
+  // Returns the retained routing decisions about a request as JSON objects.
   std::vector<std::string> Explain(const RequestId& id);
 
-  // Agents with a usable connection.
+  // Number of agents with a usable connection.
   size_t ReadyCount() const { return this->ready_count.load(); }
 
  private:
   struct Agent;
   struct Attempt;
   struct Request;
-  enum class TimerKind : uint8_t { kDeadline, kHedge, kGrace };
+  enum class TimerKind : uint8_t { kDeadline, kHedge, kCancelGrace };
   enum class SendReason : uint8_t { kFirst, kRetry, kHedge };
   struct TimerKey {
     uint64_t number = 0;
@@ -142,34 +143,35 @@
   void ConnectLater(const std::shared_ptr<Agent>& agent);
   void OnConnected(const std::shared_ptr<Agent>& agent);
   void OnConnectTimeout(const std::shared_ptr<Agent>& agent);
-  void Lose(const std::shared_ptr<Agent>& agent, std::error_code error);
+  void OnConnectionLost(const std::shared_ptr<Agent>& agent,
+                        std::error_code error);
   void CloseAgent(Agent* agent);
   void CloseIfUnused(Agent* agent);
-  void UpdateUnusable();
+  void UpdateUnusableAgents();
   void Handle(Agent* agent, Hello&& hello);
   void Handle(Agent* agent, Leaving&& leaving);
   void Handle(Agent* agent, AnswerHead&& head);
   void Handle(Agent* agent, AnswerChunk&& chunk);
   void Handle(Agent* agent, AnswerBroken&& broken);
   void Handle(Agent* agent, Refused&& refused);
-  // Messages that only an entry sends.
+  // Rejects messages that only an entry may send.
   template <class T>
   void Handle(Agent* agent, T&& message);
 
   // Requests (entry_front.cc).
   void OnExchange(HttpExchange* exchange);
-  void Claim(Request* request);
+  void ClaimKey(Request* request);
   void OnClaimed(uint64_t number, ClaimResult result);
   void FailWith(Request* request, EntryError error, std::string_view detail);
-  void Finish(Request* request, HttpReply&& reply, Outcome outcome);
+  void FinishRequest(Request* request, HttpReply&& reply, Outcome outcome);
   void ArmTimer();
   void OnTimer();
   void OnDeadline(Request* request);
-  void OnGraceEnded(Request* request);
+  void OnCancelGraceExpired(Request* request);
   void BeginDrain(std::function<void()> done);
-  void PollDrain();
-  void StepDrain(absl::Time now);
-  void EndDrain();
+  void ScheduleDrainCheck();
+  void AdvanceDrain(absl::Time now);
+  void FinishDrain();
   void StopAll();
 
   // Attempts (entry_route.cc).
@@ -186,15 +188,16 @@
   void LogOutcome(const Request& request,
                   Outcome outcome,
                   std::string_view code);
-  // The request and its outstanding attempt, or nulls for a late or crossed
-  // message.
-  std::pair<Request*, Attempt*> Find(const Agent* agent, const AttemptId& id);
+  // Returns the request and its outstanding attempt, or null pointers for a
+  // late message or one from another agent.
+  std::pair<Request*, Attempt*> FindAttempt(const Agent* agent,
+                                            const AttemptId& id);
   void OnWholeAnswer(Request* request, Attempt* attempt);
   void OnAttemptBroken(Request* request, uint32_t number);
   void OnAttemptRefused(Request* request, uint32_t number, Refusal reason);
-  void RetryOrEnd(Request* request, bool needs_budget);
-  void Hedge(Request* request);
-  void EndUnanswered(Request* request);
+  void RetryOrFail(Request* request, bool needs_budget);
+  void SendHedge(Request* request);
+  void FailUnanswered(Request* request);
   void RemoveAttempt(Request* request, uint32_t number);
   void CancelOutstanding(Request* request);
 
@@ -210,15 +213,15 @@
   std::shared_ptr<const Document> document;
 
   absl::flat_hash_map<std::string, std::shared_ptr<Agent>> agents;
-  absl::flat_hash_map<Link*, std::shared_ptr<Agent>> by_link;
+  absl::flat_hash_map<Link*, std::shared_ptr<Agent>> agents_by_link;
   // Names of agents without a usable connection.
-  std::vector<std::string> unusable;
+  std::vector<std::string> unusable_agents;
   std::atomic<size_t> ready_count = 0;
 
   absl::flat_hash_map<uint64_t, std::unique_ptr<Request>> requests;
   uint64_t last_number = 0;
   TimerQueue<TimerKey> timers;
-  absl::Time armed = absl::InfiniteFuture();
+  absl::Time armed_time = absl::InfiniteFuture();
   DecisionRing decisions;
   // Reused by each decision.
   RouteChoice choice;
@@ -226,13 +229,14 @@
   std::string json;
 
   bool stopped = false;
-  // Ends of the steps of a drain: the grace period, the time for connections
-  // that are being opened, and that for idle connections.
-  absl::Time drain_until = absl::InfiniteFuture();
-  absl::Time listen_until = absl::InfiniteFuture();
-  absl::Time linger_until = absl::InfiniteFuture();
+  // Deadlines of the phases of a drain: the grace period, the time for
+  // handshakes in progress and the wait for idle connections.
+  absl::Time drain_deadline = absl::InfiniteFuture();
+  absl::Time listen_deadline = absl::InfiniteFuture();
+  absl::Time linger_deadline = absl::InfiniteFuture();
   std::function<void()> drain_done;
-  // Ends with this object, for messages from other threads.
+  // Callbacks from other threads hold a weak pointer to it and do nothing once
+  // this object is destroyed.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   Counter& answered_total;
@@ -243,7 +247,7 @@
   Counter& hedges_total;
   Counter& late_total;
   Counter& damaged_total;
-  Summary& seconds;
+  Summary& latency_seconds;
 };
 
 }  // namespace cuminjunction
--- a/request/entry_links.cc
+++ b/request/entry_links.cc
@@ -1,4 +1,4 @@
-// Connections of an entry shard to agents, and what arrives on them.
+// Connections of an entry shard to agents, and the messages received on them.
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
@@ -11,7 +11,7 @@
 
 using boost::asio::ip::tcp;
 
-// Keeps the factor of the time between two tries small enough for an int.
+// Prevents an overflow of the int that holds the factor of the reconnect delay.
 constexpr int kMaxDoublings = 8;
 
 }  // namespace
@@ -45,7 +45,7 @@
   for (const std::shared_ptr<Agent>& agent : added)
     this->Connect(agent);
   this->policy->SetUpstreams(upstreams);
-  this->UpdateUnusable();
+  this->UpdateUnusableAgents();
 }
 
 void EntryFront::Connect(const std::shared_ptr<Agent>& agent) {
@@ -80,7 +80,7 @@
 void EntryFront::ConnectLater(const std::shared_ptr<Agent>& agent) {
   const int factor = 1 << std::min(agent->failures++, kMaxDoublings);
   agent->timer.expires_after(std::chrono::milliseconds(
-      std::min(this->options.reconnect_ms * factor, kMaxReconnectMs)));
+      std::min(this->options.initial_reconnect_ms * factor, kMaxReconnectMs)));
   agent->timer.async_wait([this, agent](std::error_code error) {
     if (!error && !this->stopped && !agent->retired)
       this->Connect(agent);
@@ -89,13 +89,14 @@
 
 void EntryFront::OnConnected(const std::shared_ptr<Agent>& agent) {
   agent->link = std::make_shared<Link>(std::move(agent->socket), this);
-  this->by_link[agent->link.get()] = agent;
+  this->agents_by_link[agent->link.get()] = agent;
   agent->link->Start();
   agent->link->Send(Hello{kProtocolVersion, this->options.process,
                           this->options.incarnation});
 }
 
-// The handlers of the closed socket or link start the next try.
+// The completion handler of the closed socket, or OnClosed(), schedules the
+// next connection attempt.
 void EntryFront::OnConnectTimeout(const std::shared_ptr<Agent>& agent) {
   if (!agent->link) {
     boost::system::error_code ignored;
@@ -108,8 +109,8 @@
 }
 
 void EntryFront::OnMessage(Link* link, Message&& message) {
-  const auto found = this->by_link.find(link);
-  if (found == this->by_link.end())
+  const auto found = this->agents_by_link.find(link);
+  if (found == this->agents_by_link.end())
     return;
   const std::shared_ptr<Agent> agent = found->second;
   if (!agent->ready && !agent->leaving && !agent->retired &&
@@ -126,26 +127,27 @@
 }
 
 void EntryFront::OnClosed(Link* link, std::error_code error) {
-  const auto found = this->by_link.find(link);
-  if (found == this->by_link.end())
+  const auto found = this->agents_by_link.find(link);
+  if (found == this->agents_by_link.end())
     return;
   const std::shared_ptr<Agent> agent = found->second;
-  this->by_link.erase(found);
-  this->Lose(agent, error);
+  this->agents_by_link.erase(found);
+  this->OnConnectionLost(agent, error);
 }
 
-// Attempts whose Submit was never passed to the system certainly have not run;
-// all others may have.
-void EntryFront::Lose(const std::shared_ptr<Agent>& agent,
-                      std::error_code error) {
-  const LogLevel level = IsDamage(error) ? LogLevel::kWarning : LogLevel::kInfo;
-  if (IsDamage(error))
+// Attempts whose Submit was never passed to the kernel certainly have not run.
+// All others may have run.
+void EntryFront::OnConnectionLost(const std::shared_ptr<Agent>& agent,
+                                  std::error_code error) {
+  const LogLevel level =
+      IsProtocolError(error) ? LogLevel::kWarning : LogLevel::kInfo;
+  if (IsProtocolError(error))
     this->damaged_total.Add();
   this->log->Write(LogLine("agent_connection_lost", level)
                        .Add("upstream", agent->endpoint.name)
                        .Add("error", error));
   agent->ready = false;
-  this->UpdateUnusable();
+  this->UpdateUnusableAgents();
   const std::shared_ptr<Link> link = std::move(agent->link);
   agent->link = nullptr;
   std::vector<std::pair<uint64_t, Attempt*>> lost;
@@ -160,7 +162,7 @@
     const uint32_t attempt_number = attempt->number;
     Request* request = this->requests[number].get();
     this->policy->OnFailure(agent->endpoint.name, now);
-    if (link->IsOffered(attempt->position))
+    if (link->MayHaveBeenWritten(attempt->position))
       this->OnAttemptBroken(request, attempt_number);
     else
       this->OnAttemptRefused(request, attempt_number, Refusal::kUpstreamDown);
@@ -177,13 +179,13 @@
   agent->socket.close(ignored);
   if (agent->link) {
     agent->link->CloseAfterWriting();
-    this->by_link.erase(agent->link.get());
+    this->agents_by_link.erase(agent->link.get());
   }
 }
 
-// Ends a connection that gets no new attempts once its last one has ended.
-// The agent waits for this before it exits, so that no Submit is lost on the
-// way to it.
+// Closes a connection that is sent no new attempts once its last attempt has
+// ended. A leaving agent waits for this before it exits, so that no Submit is
+// lost in flight.
 void EntryFront::CloseIfUnused(Agent* agent) {
   if (agent->outstanding > 0)
     return;
@@ -193,23 +195,23 @@
   }
   if (!agent->leaving || !agent->link)
     return;
-  const auto found = this->by_link.find(agent->link.get());
-  if (found == this->by_link.end())
+  const auto found = this->agents_by_link.find(agent->link.get());
+  if (found == this->agents_by_link.end())
     return;
   const std::shared_ptr<Agent> kept = found->second;
-  this->by_link.erase(found);
+  this->agents_by_link.erase(found);
   agent->link->CloseAfterWriting();
   agent->link = nullptr;
   this->ConnectLater(kept);
 }
 
-void EntryFront::UpdateUnusable() {
-  this->unusable.clear();
+void EntryFront::UpdateUnusableAgents() {
+  this->unusable_agents.clear();
   for (const auto& [name, agent] : this->agents) {
     if (!agent->ready)
-      this->unusable.push_back(name);
+      this->unusable_agents.push_back(name);
   }
-  this->ready_count = this->agents.size() - this->unusable.size();
+  this->ready_count = this->agents.size() - this->unusable_agents.size();
 }
 
 template <class T>
@@ -229,19 +231,19 @@
   agent->ready = !agent->retired;
   agent->failures = 0;
   agent->timer.cancel();
-  this->UpdateUnusable();
+  this->UpdateUnusableAgents();
 }
 
 void EntryFront::Handle(Agent* agent, Leaving&& /*leaving*/) {
   agent->ready = false;
   agent->leaving = true;
   this->policy->OnLeaving(agent->endpoint.name);
-  this->UpdateUnusable();
+  this->UpdateUnusableAgents();
   this->CloseIfUnused(agent);
 }
 
 void EntryFront::Handle(Agent* agent, AnswerHead&& head) {
-  const auto [request, attempt] = this->Find(agent, head.id);
+  const auto [request, attempt] = this->FindAttempt(agent, head.id);
   if (attempt == nullptr || attempt->has_head) {
     this->late_total.Add();
     return;
@@ -257,7 +259,7 @@
 }
 
 void EntryFront::Handle(Agent* agent, AnswerChunk&& chunk) {
-  const auto [request, attempt] = this->Find(agent, chunk.id);
+  const auto [request, attempt] = this->FindAttempt(agent, chunk.id);
   if (attempt == nullptr) {
     this->late_total.Add();
     return;
@@ -277,7 +279,7 @@
 }
 
 void EntryFront::Handle(Agent* agent, AnswerBroken&& broken) {
-  const auto [request, attempt] = this->Find(agent, broken.id);
+  const auto [request, attempt] = this->FindAttempt(agent, broken.id);
   if (attempt == nullptr) {
     this->late_total.Add();
     return;
@@ -287,7 +289,7 @@
 }
 
 void EntryFront::Handle(Agent* agent, Refused&& refused) {
-  const auto [request, attempt] = this->Find(agent, refused.id);
+  const auto [request, attempt] = this->FindAttempt(agent, refused.id);
   if (attempt == nullptr) {
     this->late_total.Add();
     return;
--- a/request/entry_request.cc
+++ b/request/entry_request.cc
@@ -25,9 +25,9 @@
     {EntryError::kNoService, 400, "no-service",
      "header Cuminjunction-Service is missing"},
     {EntryError::kUnknownService, 404, "unknown-service",
-     "no service of this name"},
+     "no service has this name"},
     {EntryError::kUnknownAccount, 400, "unknown-account",
-     "no client account of this name"},
+     "no client account has this name"},
     {EntryError::kBadUrgency, 400, "bad-urgency",
      "urgency is not urgent, normal or batch"},
     {EntryError::kBadDeadline, 400, "bad-deadline",
@@ -43,16 +43,17 @@
     {EntryError::kTooManyConnections, 503, "too-many-connections",
      "entry has too many connections"},
     {EntryError::kOutOfMemory, 503, "out-of-memory",
-     "entry holds too many bytes of bodies"},
+     "request bodies in the entry exceed its memory limit"},
     {EntryError::kDeadlinePassed, 504, "deadline",
      "deadline passed before the request started"},
     {EntryError::kNoUpstream, 503, "no-upstream",
-     "no upstream of the service takes requests"},
-    {EntryError::kRefused, 503, "refused", "every upstream asked has refused"},
+     "no upstream of the service accepts requests"},
+    {EntryError::kRefused, 503, "refused",
+     "every upstream that was tried refused the request"},
     {EntryError::kKeyTaken, 409, "key-taken",
      "idempotency key was claimed by another request"},
     {EntryError::kKeyStoreDown, 503, "key-store-down",
-     "idempotency key can't be claimed now"},
+     "idempotency key claim was not confirmed by the key store"},
     {EntryError::kStopping, 503, "stopping", "entry is stopping"},
     {EntryError::kBroken, 502, "broken",
      "request may have run, and its answer was lost"},
@@ -60,7 +61,7 @@
      "request may have run, and no answer came before the deadline"},
 };
 
-constexpr std::string_view kOwnPrefix = "Cuminjunction-";
+constexpr std::string_view kReservedPrefix = "Cuminjunction-";
 
 const ErrorRow& RowOf(EntryError error) {
   return kErrors[static_cast<size_t>(error) - 1];
@@ -70,8 +71,8 @@
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-std::optional<std::string> TakeHeader(HeaderList* headers,
-                                      std::string_view name) {
+std::optional<std::string> ExtractHeader(HeaderList* headers,
+                                         std::string_view name) {
   const auto found = std::find_if(
       headers->begin(), headers->end(),
       [&](const auto& header) { return EqualsIgnoreCase(header.first, name); });
@@ -90,13 +91,13 @@
   return "";
 }
 
-// Neither a caller nor an upstream may set the headers that name a request and
-// say what is certain about it.
-void EraseOwnHeaders(HeaderList* headers) {
+// Neither a caller nor an upstream may set the headers that identify a request
+// and report its outcome.
+void EraseReservedHeaders(HeaderList* headers) {
   std::erase_if(*headers, [](const auto& header) {
     return EqualsIgnoreCase(
-        std::string_view(header.first).substr(0, kOwnPrefix.size()),
-        kOwnPrefix);
+        std::string_view(header.first).substr(0, kReservedPrefix.size()),
+        kReservedPrefix);
   });
 }
 
@@ -124,11 +125,11 @@
 Result<absl::Time> ParseDeadline(HeaderList* headers,
                                  const Service& service,
                                  absl::Time now) {
-  const auto at = TakeHeader(headers, "Cuminjunction-Deadline");
-  const auto timeout = TakeHeader(headers, "Cuminjunction-Timeout-Ms");
+  const auto absolute = ExtractHeader(headers, "Cuminjunction-Deadline");
+  const auto timeout = ExtractHeader(headers, "Cuminjunction-Timeout-Ms");
   absl::Time deadline = now + absl::Milliseconds(service.timeout_ms);
-  if (at) {
-    const std::optional<int64_t> millis = ParseMillis(*at);
+  if (absolute) {
+    const std::optional<int64_t> millis = ParseMillis(*absolute);
     if (!millis)
       return EntryError::kBadDeadline;
     deadline = absl::FromUnixMillis(*millis);
@@ -159,7 +160,7 @@
   return std::find(methods.begin(), methods.end(), method) != methods.end();
 }
 
-Status CheckLine(const HttpExchange& exchange) {
+Status CheckRequestLine(const HttpExchange& exchange) {
   if (exchange.method == "CONNECT" || exchange.method == "TRACE")
     return EntryError::kMethodNotAllowed;
   if (!exchange.path.starts_with('/'))
@@ -186,9 +187,9 @@
 Result<RequestHead> ParseRequestHead(HttpExchange* exchange,
                                      const Document& document,
                                      absl::Time now) {
-  BOOST_OUTCOME_TRY(CheckLine(*exchange));
+  BOOST_OUTCOME_TRY(CheckRequestLine(*exchange));
   HeaderList* headers = &exchange->headers;
-  const auto name = TakeHeader(headers, "Cuminjunction-Service");
+  const auto name = ExtractHeader(headers, "Cuminjunction-Service");
   if (!name)
     return EntryError::kNoService;
   const auto service = document.services.find(*name);
@@ -197,19 +198,19 @@
   RequestHead head;
   head.service = *name;
   head.upstream_service = service->second.upstream;
-  head.request_class.account = TakeHeader(headers, "Cuminjunction-Account")
+  head.request_class.account = ExtractHeader(headers, "Cuminjunction-Account")
                                    .value_or(service->second.account);
   if (!document.accounts.contains(head.request_class.account))
     return EntryError::kUnknownAccount;
-  BOOST_OUTCOME_TRY(urgency,
-                    ParseUrgency(TakeHeader(headers, "Cuminjunction-Urgency"),
-                                 service->second.urgency));
+  BOOST_OUTCOME_TRY(
+      urgency, ParseUrgency(ExtractHeader(headers, "Cuminjunction-Urgency"),
+                            service->second.urgency));
   head.request_class.urgency = urgency;
   BOOST_OUTCOME_TRY(deadline, ParseDeadline(headers, service->second, now));
   head.deadline = deadline;
   head.idempotent = IsIdempotent(service->second, exchange->method);
   head.idempotency_key = FindHeader(*headers, "Idempotency-Key");
-  EraseOwnHeaders(headers);
+  EraseReservedHeaders(headers);
   return head;
 }
 
@@ -240,7 +241,7 @@
   HttpReply reply;
   reply.status = answer.status;
   reply.headers = std::move(answer.headers);
-  EraseOwnHeaders(&reply.headers);
+  EraseReservedHeaders(&reply.headers);
   reply.headers.emplace_back("Cuminjunction-Outcome",
                              ToString(Outcome::kAnswered));
   reply.headers.emplace_back("Cuminjunction-Request",
--- a/request/entry_request.h
+++ b/request/entry_request.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_ENTRY_REQUEST_H_
 #define REQUEST_ENTRY_REQUEST_H_
 
-// What a caller asks for, read from the headers of its request, and the
-// answers an entry makes itself. No sockets and no clocks.
+// Parses the headers of a request and builds the answers of an entry. Uses no
+// sockets and no clocks.
 
 #include <cstdint>
 #include <string>
@@ -17,7 +17,7 @@
 
 namespace cuminjunction {
 
-// Why an entry answers a request itself.
+// Reason for which an entry answers a request without an upstream's answer.
 enum class EntryError {
   kNoService = 1,
   kUnknownService,
@@ -47,42 +47,45 @@
   static std::string_view Message(EntryError error);
 };
 
-// "no-service", "unknown-service", ...: the form in answers and logs.
+// Returns the code in answers and logs, such as "unknown-service".
 std::string_view CodeOf(EntryError error);
 
 // The HTTP status of an answer with this error.
 unsigned StatusOf(EntryError error);
 
-// A request as its headers describe it.
+// The parsed headers of a request.
 struct RequestHead {
-  // Name of the service in the document, and the name agents announce for it.
+  // Name of the service in the configuration, and the name that agents announce
+  // for it.
   std::string service;
   std::string upstream_service;
   RequestClass request_class;
   absl::Time deadline;
   bool idempotent = false;
-  // Empty when the caller gave none.
+  // Empty when the request has no Idempotency-Key header.
   std::string idempotency_key;
 
   bool operator==(const RequestHead&) const = default;
 };
 
-// Limits for the deadlines of callers.
+// Longest time from the arrival of a request to the deadline that a caller may
+// set.
 inline constexpr absl::Duration kMaxRequestTimeout = absl::Minutes(10);
 
-// Reads method, path and headers. All headers that start with "Cuminjunction-"
-// are removed from the exchange. Fails with the error to answer.
+// Parses method, path and headers. Removes all headers that start with
+// "Cuminjunction-" from the exchange. Fails with the EntryError to answer.
 Result<RequestHead> ParseRequestHead(HttpExchange* exchange,
                                      const Document& document,
                                      absl::Time now);
 
-// An answer made by the entry: a JSON error with the outcome header.
+// Returns a JSON error with the outcome header. `detail` is its reason, which
+// may be empty.
 HttpReply MakeErrorReply(EntryError error,
                          Outcome outcome,
                          const RequestId& id,
                          std::string_view detail);
 
-// The answer of an upstream with the outcome header.
+// Returns the answer of an upstream with the outcome header added.
 HttpReply MakeAnswerReply(AnswerHead&& answer);
 
 }  // namespace cuminjunction
--- a/request/entry_route.cc
+++ b/request/entry_route.cc
@@ -1,5 +1,5 @@
-// Attempts of an entry shard: choice, sending, retries, hedges and what their
-// ends mean for the request.
+// Attempts of an entry shard: choosing an upstream, sending, retries, hedges,
+// and the effect of each result on the request.
 
 #include <algorithm>
 
@@ -17,9 +17,10 @@
   return is_retry ? "retry" : "first";
 }
 
-// Retries are limited where they would add load to upstreams that have too
-// much of it. An agent that leaves or whose upstream is down only passes its
-// share on, and a planned stop must not fail requests for want of a budget.
+// The retry budget limits retries that would add load to overloaded upstreams.
+// A retry after a refusal by an agent that is leaving or whose upstream is down
+// only moves load to other upstreams, and a planned stop must not fail requests
+// because the budget is spent.
 bool NeedsBudget(Refusal reason) {
   return reason != Refusal::kLeaving && reason != Refusal::kUpstreamDown;
 }
@@ -32,19 +33,21 @@
     this->policy->OnFirstAttempt(now);
   if (!this->Choose(*request, now)) {
     if (request->outstanding.empty())
-      this->EndUnanswered(request);
+      this->FailUnanswered(request);
     return;
   }
   const auto found = this->agents.find(this->choice.upstream);
   this->SendAttempt(request, found->second, reason, now);
 }
 
-// Fills `choice`. The policy may name an upstream that this shard has no
-// usable connection to; it is asked again without it.
+// Fills `choice`. The policy may choose an upstream to which this shard has no
+// usable connection. That upstream is then excluded and the policy is called
+// again.
 bool EntryFront::Choose(const Request& request, absl::Time now) {
-  this->exclude.assign(this->unusable.begin(), this->unusable.end());
-  this->exclude.insert(this->exclude.end(), request.tried.begin(),
-                       request.tried.end());
+  this->exclude.assign(this->unusable_agents.begin(),
+                       this->unusable_agents.end());
+  this->exclude.insert(this->exclude.end(), request.tried_upstreams.begin(),
+                       request.tried_upstreams.end());
   while (this->policy->Choose(request.head.upstream_service,
                               request.head.request_class, now, this->exclude,
                               &this->choice)) {
@@ -95,7 +98,7 @@
   }
   ++agent->outstanding;
   request->outstanding.push_back(std::move(attempt));
-  request->tried.push_back(agent->endpoint.name);
+  request->tried_upstreams.push_back(agent->endpoint.name);
   this->policy->OnSent(agent->endpoint.name, now);
   this->attempts_total.Add();
   this->LogDecision(*request, number.value(), reason, now);
@@ -158,7 +161,7 @@
   this->decisions.Add(request.id, std::move(line));
 }
 
-std::pair<EntryFront::Request*, EntryFront::Attempt*> EntryFront::Find(
+std::pair<EntryFront::Request*, EntryFront::Attempt*> EntryFront::FindAttempt(
     const Agent* agent,
     const AttemptId& id) {
   const auto found = this->requests.find(id.request.number);
@@ -180,7 +183,8 @@
                          now - attempt->sent, now);
   request->attempts.RecordAnswered(number);
   this->RemoveAttempt(request, number);
-  this->Finish(request, MakeAnswerReply(std::move(answer)), Outcome::kAnswered);
+  this->FinishRequest(request, MakeAnswerReply(std::move(answer)),
+                      Outcome::kAnswered);
 }
 
 void EntryFront::OnAttemptBroken(Request* request, uint32_t number) {
@@ -188,7 +192,7 @@
   this->RemoveAttempt(request, number);
   if (!request->outstanding.empty())
     return;
-  this->RetryOrEnd(request, /*needs_budget=*/true);
+  this->RetryOrFail(request, /*needs_budget=*/true);
 }
 
 void EntryFront::OnAttemptRefused(Request* request,
@@ -200,12 +204,12 @@
   if (!request->outstanding.empty())
     return;
   if (reason == Refusal::kDeadline)
-    this->EndUnanswered(request);
+    this->FailUnanswered(request);
   else
-    this->RetryOrEnd(request, NeedsBudget(reason));
+    this->RetryOrFail(request, NeedsBudget(reason));
 }
 
-void EntryFront::RetryOrEnd(Request* request, bool needs_budget) {
+void EntryFront::RetryOrFail(Request* request, bool needs_budget) {
   const absl::Time now = absl::Now();
   const bool retry = !request->cancelling &&
                      request->attempts.CanStartAttempt() &&
@@ -213,14 +217,14 @@
                      now < request->head.deadline &&
                      (!needs_budget || this->policy->AllowRetry(now));
   if (!retry) {
-    this->EndUnanswered(request);
+    this->FailUnanswered(request);
     return;
   }
   this->retries_total.Add();
   this->Route(request, SendReason::kRetry);
 }
 
-void EntryFront::Hedge(Request* request) {
+void EntryFront::SendHedge(Request* request) {
   const absl::Time now = absl::Now();
   if (request->cancelling || request->outstanding.size() != 1 ||
       request->attempts.Count() != 1 || !request->attempts.CanStartAttempt() ||
@@ -230,19 +234,19 @@
   this->Route(request, SendReason::kHedge);
 }
 
-// Answers a request that has no outstanding attempt or whose deadline has
-// passed.
-void EntryFront::EndUnanswered(Request* request) {
-  const bool in_time = absl::Now() < request->head.deadline;
+// Fails a request that has no outstanding attempt or whose deadline has passed.
+void EntryFront::FailUnanswered(Request* request) {
+  const bool before_deadline = absl::Now() < request->head.deadline;
   if (request->attempts.GiveUp() == Outcome::kUnknown) {
-    this->FailWith(request,
-                   in_time ? EntryError::kBroken : EntryError::kNoAnswerInTime,
-                   "");
+    this->FailWith(
+        request,
+        before_deadline ? EntryError::kBroken : EntryError::kNoAnswerInTime,
+        "");
     return;
   }
   const std::string_view reason =
       cuminjunction::ToString(request->last_refusal);
-  if (!in_time || request->last_refusal == Refusal::kDeadline)
+  if (!before_deadline || request->last_refusal == Refusal::kDeadline)
     this->FailWith(request, EntryError::kDeadlinePassed, reason);
   else if (request->last_refusal == Refusal::kNone)
     this->FailWith(request, EntryError::kNoUpstream, "");
--- a/request/entry_state.h
+++ b/request/entry_state.h
@@ -10,7 +10,7 @@
 
 namespace cuminjunction {
 
-// The connection to an agent.
+// An agent and the connection to it.
 struct EntryFront::Agent {
   Agent(boost::asio::io_context* context, UpstreamEndpoint endpoint)
       : endpoint(std::move(endpoint)), socket(*context), timer(*context) {}
@@ -20,24 +20,24 @@
   boost::asio::ip::tcp::socket socket;
   boost::asio::steady_timer timer;
   std::shared_ptr<Link> link;
-  // Hello has arrived and Leaving has not.
+  // Hello was received and Leaving was not.
   bool ready = false;
   bool leaving = false;
-  // No longer among the upstreams.
+  // No longer in the list of upstreams.
   bool retired = false;
   size_t outstanding = 0;
-  // Tries to connect since the last usable connection.
+  // Failed connection attempts since the last usable connection.
   int failures = 0;
 };
 
 struct EntryFront::Attempt {
   uint32_t number = 0;
   std::shared_ptr<Agent> agent;
-  // Place of its Submit in the stream to the agent.
+  // Byte position of the Submit in the stream to the agent; see Link::Send().
   uint64_t position = 0;
   absl::Time sent;
   bool has_head = false;
-  // The answer as far as it has arrived.
+  // The part of the answer received so far.
   AnswerHead answer;
 };
 
@@ -49,18 +49,18 @@
   HttpExchange* exchange = nullptr;
   RequestHead head;
   absl::Time arrived;
-  // The body when it takes more than one frame.
+  // The body when it is larger than one frame; null otherwise.
   std::shared_ptr<const std::string> large_body;
   RequestAttempts attempts;
   std::vector<Attempt> outstanding;
-  // Upstreams that were sent an attempt.
-  std::vector<std::string> tried;
+  // Names of the upstreams that were sent an attempt.
+  std::vector<std::string> tried_upstreams;
   Refusal last_refusal = Refusal::kNone;
-  // Its deadline has passed and the agents were told.
+  // The deadline has passed and the outstanding attempts were cancelled.
   bool cancelling = false;
-  // Waits for the claim of its idempotency key, or holds it.
-  bool claiming = false;
-  bool claimed = false;
+  // The claim of the idempotency key is pending, or has succeeded.
+  bool claim_pending = false;
+  bool claim_held = false;
 };
 
 }  // namespace cuminjunction
--- a/request/link.cc
+++ b/request/link.cc
@@ -12,16 +12,16 @@
 
 namespace {
 
-constexpr size_t kReadBytes = 256 * 1024;
+constexpr size_t kReadBufferBytes = 256 * 1024;
 
-// Chunks of bodies are added to a write up to this many bytes, which keeps the
+// Body chunks are added to a write until it has this many bytes. This keeps the
 // delay of a small message behind them below 0.1 ms on a fast network.
-constexpr size_t kBatchBytes = 256 * 1024;
+constexpr size_t kWriteBatchBytes = 256 * 1024;
 
-// A connection ends when its peer acknowledges nothing for this long, so that
-// a VM that is gone does not hold attempts for the quarter of an hour that the
-// system would wait.
-constexpr int kDeadPeerMs = 10'000;
+// A connection fails when its peer acknowledges no data for this long. The
+// default of the kernel is about 15 minutes, during which the attempts sent to
+// a failed VM would stay outstanding.
+constexpr int kPeerTimeoutMs = 10'000;
 
 void SetTcpOption(int fd, int option, int value) {
   setsockopt(fd, IPPROTO_TCP, option, &value, sizeof(value));
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-bool IsDamage(std::error_code error) {
+bool IsProtocolError(std::error_code error) {
   const std::error_category& category = error.category();
   return category == make_error_code(FrameError::kChecksum).category() ||
          category == make_error_code(CodecError::kTruncated).category() ||
@@ -43,9 +43,9 @@
   boost::system::error_code ignored;
   this->socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   const int fd = this->socket.native_handle();
-  SetTcpOption(fd, TCP_USER_TIMEOUT, kDeadPeerMs);
-  SetTcpOption(fd, TCP_KEEPIDLE, kDeadPeerMs / 2000);
-  SetTcpOption(fd, TCP_KEEPINTVL, kDeadPeerMs / 4000);
+  SetTcpOption(fd, TCP_USER_TIMEOUT, kPeerTimeoutMs);
+  SetTcpOption(fd, TCP_KEEPIDLE, kPeerTimeoutMs / 2000);
+  SetTcpOption(fd, TCP_KEEPINTVL, kPeerTimeoutMs / 4000);
   this->socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
   this->socket.non_blocking(true, ignored);
   this->Read();
@@ -81,7 +81,7 @@
 
 void Link::CloseAfterWriting() {
   this->handler = nullptr;
-  this->closing = true;
+  this->close_after_writing = true;
   this->ScheduleFlush();
 }
 
@@ -103,11 +103,11 @@
   this->writing.swap(this->queued);
   this->AppendChunks();
   if (this->writing.empty()) {
-    if (this->closing)
+    if (this->close_after_writing)
       this->Close();
     return;
   }
-  this->offered += this->writing.size();
+  this->written_position += this->writing.size();
   this->write_active = true;
   boost::asio::async_write(
       this->socket, boost::asio::buffer(this->writing),
@@ -117,7 +117,7 @@
 }
 
 void Link::AppendChunks() {
-  while (!this->bodies.empty() && this->writing.size() < kBatchBytes) {
+  while (!this->bodies.empty() && this->writing.size() < kWriteBatchBytes) {
     Body body = std::move(this->bodies.front());
     this->bodies.pop_front();
     this->AppendChunk(&body);
@@ -170,12 +170,12 @@
   }
   if (this->handler == nullptr)
     return;
-  // Shared by all links of the thread: with a buffer of its own, each of the
-  // 800 agents would cost every shard of an entry 256 KiB.
-  thread_local const auto buffer = std::make_unique<char[]>(kReadBytes);
+  // Shared by all links of the thread. A buffer for each link would cost every
+  // shard of an entry 256 KiB for each of 800 agents.
+  thread_local const auto buffer = std::make_unique<char[]>(kReadBufferBytes);
   boost::system::error_code failure;
   const size_t size = this->socket.read_some(
-      boost::asio::buffer(buffer.get(), kReadBytes), failure);
+      boost::asio::buffer(buffer.get(), kReadBufferBytes), failure);
   if (failure && failure != boost::asio::error::would_block) {
     this->Fail(failure);
     return;
--- a/request/link.h
+++ b/request/link.h
@@ -1,20 +1,20 @@
 #ifndef REQUEST_LINK_H_
 #define REQUEST_LINK_H_
 
-// One framed TCP connection between an entry and an agent, on either side.
+// One framed TCP connection between an entry and an agent, used by both sides.
 //
 //   auto link = std::make_shared<Link>(std::move(socket), &handler);
 //   link->Start();
 //   const uint64_t position = link->Send(submit);
 //   ...
 //   void OnClosed(Link* link, std::error_code error) {
-//     if (!link->IsOffered(position)) ...   // certainly never written
+//     if (!link->MayHaveBeenWritten(position)) ...   // no byte was written
 //   }
 //
-// Messages sent during one turn of the event loop go out in one write. Large
-// bodies are cut into chunks that alternate with one another and follow the
-// small messages, so that a large body delays nothing by more than one batch.
-// All calls are made on the event thread of the socket.
+// Messages queued during one iteration of the event loop are sent in one write.
+// Large bodies are split into chunks, which are interleaved and follow the
+// small messages, so that a large body delays other messages by at most one
+// batch. All functions must be called on the event thread of the socket.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -30,37 +30,38 @@
 
 class Link;
 
-// True for the errors of damaged or unexpected bytes, in contrast to those of
-// the network.
-bool IsDamage(std::error_code error);
+// True for the errors of damaged or unexpected bytes (FrameError, CodecError
+// and MessageError), false for network errors.
+bool IsProtocolError(std::error_code error);
 
-// What the owner of a link does with its events.
+// Receives the events of a link.
 class LinkHandler {
  public:
   virtual ~LinkHandler() = default;
-  // A checked message.
+  // A message that ReadMessage() has validated.
   virtual void OnMessage(Link* link, Message&& message) = 0;
   // The connection has ended. Called at most once, never from within Send()
-  // or Close(). Damaged bytes give a FrameError, CodecError or MessageError.
+  // or Close(). `error` is a FrameError, CodecError or MessageError after
+  // damaged bytes, and the network error otherwise.
   virtual void OnClosed(Link* link, std::error_code error) = 0;
 };
 
-// What the chunks of a body are sent as.
+// Direction of a body: sent as BodyChunk or as AnswerChunk messages.
 enum class BodyKind : uint8_t { kRequest, kAnswer };
 
 class Link : public std::enable_shared_from_this<Link> {
  public:
-  // `handler` must outlive the link or call Close().
+  // `handler` must outlive the link or call Close() first.
   Link(boost::asio::ip::tcp::socket socket, LinkHandler* handler);
 
-  // Starts to read.
+  // Sets the socket options and starts reading.
   void Start();
 
-  // Queues a message. The result is its position in the stream for
-  // IsOffered().
+  // Queues a message. Returns its byte position in the stream, for
+  // MayHaveBeenWritten().
   template <class T>
   uint64_t Send(const T& message) {
-    const uint64_t position = this->offered + this->queued.size();
+    const uint64_t position = this->written_position + this->queued.size();
     this->scratch.clear();
     AppendMessage(message, &this->scratch);
     AppendFrame(this->scratch, &this->queued);
@@ -68,27 +69,29 @@
     return position;
   }
 
-  // Queues the bytes of a body from `offset` on as chunks.
+  // Queues the bytes of a body, starting at `offset`, as chunks.
   void SendBody(const AttemptId& id,
                 BodyKind kind,
                 std::shared_ptr<const std::string> bytes,
                 size_t offset);
 
-  // Drops the chunks of a body that have not been written.
+  // Drops the chunks of a body whose write has not started.
   void DropBody(const AttemptId& id);
 
   // True when the message at this position may have left the process. False
-  // is certain: no byte of it was passed to the system.
-  bool IsOffered(uint64_t position) const { return position < this->offered; }
+  // guarantees that no byte of it was passed to the kernel.
+  bool MayHaveBeenWritten(uint64_t position) const {
+    return position < this->written_position;
+  }
 
-  // Bytes waiting to be written, with those of bodies.
+  // Bytes that wait to be written, including those of queued bodies.
   size_t PendingBytes() const;
 
-  // Ends the connection without a call of the handler. What was queued is
-  // dropped.
+  // Closes the connection without calling the handler. Drops the queued
+  // messages.
   void Close();
 
-  // Writes what is queued, then ends the connection without a call of the
+  // Writes the queued messages, then closes the connection without calling the
   // handler.
   void CloseAfterWriting();
 
@@ -116,16 +119,17 @@
   LinkHandler* handler;
   FrameReader reader;
   std::string scratch;
-  // Frames not yet passed to the system, and those that are being written.
+  // Frames not yet passed to the kernel, and those that are being written.
   std::string queued;
   std::string writing;
   std::deque<Body> bodies;
   size_t body_bytes = 0;
-  // Bytes passed to the system since the start of the connection.
-  uint64_t offered = 0;
+  // Bytes passed to the kernel since the start of the connection. A write
+  // counts in full as soon as it starts.
+  uint64_t written_position = 0;
   bool flush_scheduled = false;
   bool write_active = false;
-  bool closing = false;
+  bool close_after_writing = false;
 };
 
 }  // namespace cuminjunction
--- a/request/message.cc
+++ b/request/message.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Names of processes, accounts, services and methods.
+// Limit for the names of processes, client accounts, services and methods.
 constexpr size_t kMaxNameBytes = 256;
 
 bool IsName(std::string_view text) {
@@ -28,17 +28,18 @@
          id.attempt > 0;
 }
 
-Status Check(bool good) {
-  if (!good)
+Status Check(bool valid) {
+  if (!valid)
     return MessageError::kBadField;
   return Ok();
 }
 
-// The first bytes of a body fill a chunk when more bytes follow.
-Status CheckBody(uint64_t body_size, size_t first) {
-  if (body_size > kMaxBodyBytes || first > kMaxChunkBytes)
+// Checks the size of a body and that of its beginning, which is empty only when
+// the body is.
+Status CheckBody(uint64_t body_size, size_t first_size) {
+  if (body_size > kMaxBodyBytes || first_size > kMaxChunkBytes)
     return MessageError::kTooLarge;
-  return Check(first <= body_size && (first > 0 || body_size == 0));
+  return Check(first_size <= body_size && (first_size > 0 || body_size == 0));
 }
 
 Status CheckChunk(const AttemptId& id, size_t size) {
@@ -119,15 +120,15 @@
     case MessageError::kEmpty:
       return "message is empty";
     case MessageError::kUnknownTag:
-      return "message tag is not known";
+      return "message tag is unknown";
     case MessageError::kBadField:
-      return "message has a field out of its range";
+      return "message field is out of range";
     case MessageError::kTooLarge:
-      return "message is above a limit of size";
+      return "message exceeds a size limit";
     case MessageError::kUnexpected:
-      return "message is not allowed at this point";
+      return "message type is not allowed in this state of the connection";
     case MessageError::kWrongPeer:
-      return "peer is not the expected process";
+      return "process name or incarnation of the peer does not match";
   }
   return "unknown message error";
 }
--- a/request/message.h
+++ b/request/message.h
@@ -10,8 +10,8 @@
 //   AppendMessage(CancelAttempt{id, deadline_us}, &payload);
 //   Result<Message> message = ReadMessage(payload);
 //
-// ReadMessage checks every id, size and enumerator, so that code behind it can
-// rely on them.
+// ReadMessage validates every id, size and enumerator, so its callers need no
+// further checks.
 
 #include <cstdint>
 #include <string>
@@ -42,15 +42,17 @@
   static std::string_view Message(MessageError error);
 };
 
-// Version of the frame protocol; a peer with another one is refused.
+// Version of the message protocol. A connection from a peer with another
+// version is closed.
 inline constexpr uint32_t kProtocolVersion = 1;
 
-// Bytes of a body in one frame.
+// The most bytes of a body in one frame.
 inline constexpr size_t kMaxChunkBytes = 64 * 1024;
 
-// True when a request line and its headers can be passed on in HTTP as they
-// are. A Submit or an answer that breaks these rules is damage and ends the
-// connection, so each side checks what comes from outside before it sends.
+// True when a request line and its headers can be forwarded over HTTP
+// unchanged. A Submit or an answer that breaks these rules is a protocol error
+// and closes the connection, so each side validates requests and answers from
+// outside before it sends them.
 bool IsValidHead(std::string_view method,
                  std::string_view path,
                  const HeaderList& headers);
@@ -71,8 +73,8 @@
   uint32_t protocol = kProtocolVersion;
   // Name of the process, as announced by membership.
   std::string process;
-  // Grows with each start of the process; the ids of an entry's requests
-  // carry it.
+  // Increases with each start of the process. The request ids of an entry
+  // contain it.
   uint64_t incarnation = 0;
 
   bool operator==(const Hello&) const = default;
@@ -94,8 +96,8 @@
   std::string method;
   std::string path;
   HeaderList headers;
-  // Bytes of the whole body; `bytes` holds the first of them, the rest follows
-  // in BodyChunk messages.
+  // Size of the whole body. `bytes` holds its beginning; BodyChunk messages
+  // carry the rest.
   uint64_t body_size = 0;
   std::string bytes;
 
@@ -128,7 +130,8 @@
   uint32_t status = 0;
   HeaderList headers;
   AgentLoad load;
-  // Bytes of the whole body; the rest follows in AnswerChunk messages.
+  // Size of the whole body. `bytes` holds its beginning; AnswerChunk messages
+  // carry the rest.
   uint64_t body_size = 0;
   std::string bytes;
 
@@ -153,22 +156,22 @@
   }
 };
 
-// Why a started attempt has no whole answer.
+// Reason for which a started attempt has no whole answer.
 enum class BrokenReason : uint8_t {
   // The upstream ended the connection before the end of its answer.
   kCutOff = 0,
   // The answer is above kMaxBodyBytes or kMaxAnswerHeaderBytes.
   kTooLarge = 1,
-  // The deadline passed after the start.
+  // The deadline passed after the attempt started.
   kDeadline = 2,
-  // The entry cancelled it after the start.
+  // The entry cancelled the attempt after it started.
   kCancelled = 3,
 };
 
 // "cut-off", "too-large", "deadline" or "cancelled".
 std::string_view ToString(BrokenReason reason);
 
-// A started attempt that will have no whole answer; it may have run.
+// A started attempt will have no whole answer. It may have run.
 struct AnswerBroken {
   AttemptId id;
   BrokenReason reason = BrokenReason::kCutOff;
@@ -183,7 +186,7 @@
   }
 };
 
-// An attempt that has not started and, by its tombstone, never will.
+// An attempt has not started, and its tombstone ensures that it never will.
 struct Refused {
   AttemptId id;
   Refusal reason = Refusal::kOverload;
@@ -198,11 +201,12 @@
   }
 };
 
-// The entry no longer wants the attempt. Answered by Refused when it has not
-// started and by AnswerBroken when it runs.
+// The entry cancels an attempt. The agent replies with Refused when the attempt
+// has not started and with AnswerBroken when it is running.
 struct CancelAttempt {
   AttemptId id;
-  // Deadline of the attempt, so that the tombstone can end.
+  // Deadline of the attempt, from which the agent derives the expiry of the
+  // tombstone.
   int64_t deadline_us = 0;
 
   bool operator==(const CancelAttempt&) const = default;
@@ -212,7 +216,7 @@
   }
 };
 
-// The agent takes no new work from now on.
+// The agent accepts no new attempts from now on.
 struct Leaving {
   bool operator==(const Leaving&) const = default;
   template <class Archive>
@@ -241,7 +245,7 @@
 
 }  // namespace message_internal
 
-// Appends tag and fields to `payload`.
+// Appends the tag and the encoded fields to `payload`.
 template <class T>
 void AppendMessage(const T& message, std::string* payload) {
   payload->push_back(message_internal::TagOf<T>());
@@ -249,14 +253,14 @@
   writer(message);
 }
 
-// Reads a payload and checks its fields. Fails with a MessageError or a
+// Decodes a payload and validates its fields. Fails with a MessageError or a
 // CodecError.
 Result<Message> ReadMessage(std::string_view payload);
 
 // "INCARNATION-NUMBER", the form of a request id in headers and logs.
 std::string ToString(const RequestId& id);
 
-// Reads the form above. Fails with kBadField.
+// Parses the form above. Fails with kBadField.
 Result<RequestId> ParseRequestId(std::string_view text);
 
 }  // namespace cuminjunction
--- a/request/testing/agent_test.cc
+++ b/request/testing/agent_test.cc
@@ -1,4 +1,4 @@
-// An agent with a scripted upstream against entries that a test plays.
+// Tests of an agent with a scripted upstream and scripted entries.
 
 #include <boost/asio/write.hpp>
 #include <future>
@@ -45,24 +45,24 @@
   TestAgent agent;
 };
 
-ScriptReaction Slow(std::chrono::milliseconds delay) {
+ScriptReaction SlowReply(std::chrono::milliseconds delay) {
   ScriptReaction reaction = Reply("slow");
   reaction.delay = delay;
   return reaction;
 }
 
-// Guards against a Submit that arrives again after a reconnect running twice
-// (P6).
+// Guards against an attempt that runs twice because its Submit is sent again
+// after a reconnect (P6).
 TEST(AgentTest, DuplicatedSubmitRunsOnce) {
   AgentFixture fixture([](const ScriptRequest&) {
-    return Slow(std::chrono::milliseconds(100));
+    return SlowReply(std::chrono::milliseconds(100));
   });
   ScriptPeer first("entry");
   first.Connect(fixture.Port(), kEntry);
   const Submit submit = SubmitOf(1);
   first.Send(submit);
   ASSERT_TRUE(WaitUntil([&] { return fixture.upstream.Count() == 1; }));
-  first.Break();
+  first.Disconnect();
   ScriptPeer second("entry");
   second.Connect(fixture.Port(), kEntry);
   second.Send(submit);
@@ -72,7 +72,8 @@
   EXPECT_EQ(fixture.upstream.Count(), 1);
 }
 
-// Guards against a frame that was delayed past its cancellation starting (P5).
+// Guards against an attempt that starts after its cancellation because its
+// Submit was delayed (P5).
 TEST(AgentTest, CancelBeforeSubmitLeavesATombstone) {
   AgentFixture fixture([](const ScriptRequest&) { return Reply("ran"); });
   ScriptPeer entry("entry");
@@ -85,8 +86,8 @@
   EXPECT_EQ(fixture.upstream.Count(), 0);
 }
 
-// Guards against calling an attempt refused that ran and was forgotten since
-// (P5). Found by the model of request attempts.
+// Guards against reporting an attempt as refused that has run and whose
+// tombstone has expired since (P5). Found by the model of request attempts.
 TEST(AgentTest, CancelOfAForgottenAttemptIsNotRefused) {
   AgentFixture fixture([](const ScriptRequest&) { return Reply("ran"); });
   ScriptPeer entry("entry");
@@ -105,7 +106,9 @@
 // while it waited (P5).
 TEST(AgentTest, RefusedWhileQueuedNeverStarts) {
   AgentFixture fixture(
-      [](const ScriptRequest&) { return Slow(std::chrono::milliseconds(150)); },
+      [](const ScriptRequest&) {
+        return SlowReply(std::chrono::milliseconds(150));
+      },
       1);
   ScriptPeer entry("entry");
   entry.Connect(fixture.Port(), kEntry);
@@ -113,7 +116,7 @@
   Submit waiting = SubmitOf(2, "POST", absl::Milliseconds(40));
   entry.Send(waiting);
   EXPECT_EQ(entry.Wait<Refused>(1)[0].reason, Refusal::kDeadline);
-  // The late copy claims a later deadline.
+  // The duplicate has a later deadline.
   waiting.deadline_us = SubmitOf(2).deadline_us;
   entry.Send(waiting);
   EXPECT_EQ(entry.Wait<Refused>(2)[1].reason, Refusal::kTombstone);
@@ -121,18 +124,20 @@
   EXPECT_EQ(fixture.upstream.Count(), 1);
 }
 
-// Guards against an attempt of an entry that is gone running, and against its
-// slot being lost.
-TEST(AgentTest, EntryConnectionLostDropsWhatWaits) {
+// Guards against starting a waiting attempt of a disconnected entry, and
+// against leaking the slot of its running attempt.
+TEST(AgentTest, EntryConnectionLostRefusesWaitingAttempts) {
   AgentFixture fixture(
-      [](const ScriptRequest&) { return Slow(std::chrono::milliseconds(100)); },
+      [](const ScriptRequest&) {
+        return SlowReply(std::chrono::milliseconds(100));
+      },
       1);
   ScriptPeer lost("entry");
   lost.Connect(fixture.Port(), kEntry);
   lost.Send(SubmitOf(1));
   lost.Send(SubmitOf(2));
   ASSERT_TRUE(WaitUntil([&] { return fixture.upstream.Count() == 1; }));
-  lost.Break();
+  lost.Disconnect();
   ScriptPeer entry("entry");
   entry.Connect(fixture.Port(), kEntry);
   entry.Send(SubmitOf(3));
@@ -140,7 +145,8 @@
   EXPECT_EQ(fixture.upstream.Count(), 2);
 }
 
-// Guards against a part of an upstream's answer being sent as the whole (P4).
+// Guards against a truncated answer of an upstream being sent as a whole one
+// (P4).
 TEST(AgentTest, BrokenAnswersAreReportedAsBroken) {
   AgentFixture fixture([](const ScriptRequest& request) -> ScriptReaction {
     const auto close = std::chrono::milliseconds(0);
@@ -153,7 +159,8 @@
           "5\r\n12345\r\n",
           close, true};
     }
-    // Without a length the end can't be told from a crash.
+    // Without a length, the end of the answer can't be distinguished from a
+    // crash.
     if (request.StartsWith("POST /3 "))
       return {"HTTP/1.1 200 OK\r\n\r\n12345", close, true};
     if (request.StartsWith("POST /4 "))
@@ -170,8 +177,8 @@
   EXPECT_EQ(fixture.upstream.Count(), 5);
 }
 
-// Guards against a header of an upstream that is not allowed ending the
-// connection to the entry, which takes it for damage.
+// Guards against an invalid header of an upstream closing the connection to the
+// entry, which would treat it as a protocol error.
 TEST(AgentTest, HeadersThatAreNotAllowedAreLeftOut) {
   AgentFixture fixture([](const ScriptRequest&) -> ScriptReaction {
     return {
@@ -185,8 +192,8 @@
   EXPECT_EQ(entry.Wait<AnswerHead>(1)[0].headers, expected);
 }
 
-// Guards against libcurl sending an order again when a kept connection ends
-// without an answer (P6).
+// Guards against libcurl resending an order when a persistent connection is
+// closed without an answer (P6).
 TEST(AgentTest, OrderIsNotResentOnANewConnection) {
   AgentFixture fixture([](const ScriptRequest& request) -> ScriptReaction {
     if (request.StartsWith("GET"))
@@ -202,12 +209,12 @@
   EXPECT_EQ(fixture.upstream.Count(), 2);
 }
 
-// Guards against "unknown" for a request that found no upstream, and against
-// an agent that stays down after the upstream has come back.
+// Guards against the outcome "unknown" for a request whose upstream is down,
+// and against an agent that stays down after the upstream has recovered.
 TEST(AgentTest, UpstreamDownRefusesUntilAProbeSucceeds) {
   Log log("");
   Metrics metrics;
-  // A port that is free: the upstream that had it is gone.
+  // A free port: the upstream that listened on it has stopped.
   auto gone = std::make_unique<ScriptUpstream>(
       [](const ScriptRequest&) { return Reply(""); });
   const uint16_t port = gone->Port();
@@ -225,11 +232,11 @@
   EXPECT_EQ(entry.Wait<AnswerHead>(1)[0].bytes, "back");
 }
 
-// Guards against new work on an agent that leaves (P7) and against its end
-// cutting off a request in flight (P8).
+// Guards against a leaving agent that accepts new attempts (P7) or exits before
+// a request in flight is answered (P8).
 TEST(AgentTest, LeavingRefusesNewWorkAndFinishesTheOld) {
   AgentFixture fixture([](const ScriptRequest&) {
-    return Slow(std::chrono::milliseconds(100));
+    return SlowReply(std::chrono::milliseconds(100));
   });
   ScriptPeer entry("entry");
   entry.Connect(fixture.Port(), kEntry);
@@ -242,12 +249,13 @@
   entry.Send(SubmitOf(2));
   EXPECT_EQ(entry.Wait<Refused>(1)[0].reason, Refusal::kLeaving);
   EXPECT_EQ(entry.Wait<AnswerHead>(1)[0].bytes, "slow");
-  entry.Break();
+  entry.Disconnect();
   done.get_future().wait();
   EXPECT_EQ(fixture.upstream.Count(), 1);
 }
 
-// Guards against a service name of another upstream being called here.
+// Guards against forwarding a request for a service that this upstream does not
+// serve.
 TEST(AgentTest, UnknownServiceIsRefused) {
   AgentFixture fixture([](const ScriptRequest&) { return Reply(""); });
   ScriptPeer entry("entry");
@@ -258,38 +266,40 @@
   EXPECT_EQ(entry.Wait<Refused>(1)[0].reason, Refusal::kUnknownService);
 }
 
-std::string FrameOf(const std::string& payload) {
+std::string EncodeFrame(const std::string& payload) {
   std::string wire;
   AppendFrame(payload, &wire);
   return wire;
 }
 
 template <class T>
-std::string FrameOf(const T& message) {
+std::string EncodeFrame(const T& message) {
   std::string payload;
   AppendMessage(message, &payload);
-  return FrameOf(payload);
+  return EncodeFrame(payload);
 }
 
-// Guards against damaged or foreign bytes ending the agent, or being obeyed.
+// Guards against damaged or foreign bytes that crash the agent or are processed
+// as messages.
 TEST(AgentTest, DamagedBytesCloseTheirConnectionOnly) {
   AgentFixture fixture([](const ScriptRequest&) { return Reply("fine"); });
-  const std::string hello = FrameOf(Hello{kProtocolVersion, "entry", kEntry});
+  const std::string hello =
+      EncodeFrame(Hello{kProtocolVersion, "entry", kEntry});
   Submit foreign = SubmitOf(1);
   foreign.id.request.entry_incarnation = kEntry + 1;
-  std::string flipped = FrameOf(SubmitOf(1));
+  std::string flipped = EncodeFrame(SubmitOf(1));
   flipped[20] = static_cast<char>(flipped[20] ^ 1);
   const std::vector<std::string> bad = {
       std::string("GET / HTTP/1.1\r\n\r\n"),
       std::string("\xff\xff\xff\xff\0\0\0\0", 8),
-      FrameOf(std::string("")),
-      FrameOf(std::string("\x7f")),
-      FrameOf(SubmitOf(1)),
+      EncodeFrame(std::string("")),
+      EncodeFrame(std::string("\x7f")),
+      EncodeFrame(SubmitOf(1)),
       hello + hello,
       hello + flipped,
-      hello + FrameOf(foreign),
-      hello + FrameOf(Leaving{}),
-      FrameOf(Hello{kProtocolVersion + 1, "entry", kEntry}),
+      hello + EncodeFrame(foreign),
+      hello + EncodeFrame(Leaving{}),
+      EncodeFrame(Hello{kProtocolVersion + 1, "entry", kEntry}),
   };
   for (const std::string& bytes : bad) {
     ScriptPeer peer("raw");
@@ -307,8 +317,8 @@
   EXPECT_EQ(entry.Wait<AnswerHead>(1)[0].bytes, "fine");
 }
 
-// Guards against memory that grows without bound for an entry that does not
-// read its answers.
+// Guards against unbounded memory growth when an entry does not read its
+// answers.
 TEST(AgentTest, EntryThatDoesNotReadIsClosed) {
   Log log("");
   Metrics metrics;
@@ -320,17 +330,17 @@
   TestAgent agent("agent", upstream.Port(), &log, &metrics, 8, options);
   ScriptPeer peer("raw");
   peer.ConnectRaw(agent.endpoint.port);
-  std::string wire = FrameOf(Hello{kProtocolVersion, "entry", kEntry});
+  std::string wire = EncodeFrame(Hello{kProtocolVersion, "entry", kEntry});
   for (uint64_t number = 1; number <= 8; ++number)
-    wire += FrameOf(SubmitOf(number));
+    wire += EncodeFrame(SubmitOf(number));
   peer.SendRaw(wire);
   EXPECT_TRUE(WaitUntil([&] {
     return metrics.GetCounter("agent_links_damaged_total").Value() == 1;
   }));
 }
 
-// Guards against a body that is longer than announced, or whose end is wrong,
-// reaching the upstream.
+// Guards against sending a body to the upstream that is longer than announced
+// or whose last chunk is marked wrongly.
 TEST(AgentTest, BodyThatDoesNotMatchItsSizeIsNotRun) {
   AgentFixture fixture([](const ScriptRequest&) { return Reply(""); });
   for (const bool last : {false, true}) {
--- a/request/testing/entry_test.cc
+++ b/request/testing/entry_test.cc
@@ -1,4 +1,4 @@
-// An entry shard against agents that a test plays.
+// Tests of an entry shard with scripted agents.
 
 #include <boost/asio/write.hpp>
 #include <future>
@@ -8,18 +8,18 @@
 namespace cuminjunction {
 namespace {
 
-std::future<CallerAnswer> CallLater(
+std::future<CallerAnswer> CallAsync(
     const PathHarness& path,
     const std::string& method,
-    const std::string& where,
+    const std::string& path_and_query,
     const std::string& body = "",
     const std::vector<std::string>& headers = {}) {
   return std::async(std::launch::async, [=, &path] {
-    return path.Call(method, where, body, headers);
+    return path.Call(method, path_and_query, body, headers);
   });
 }
 
-// Guards against an answer that comes after the deadline reaching another
+// Guards against returning an answer that arrives after the deadline to another
 // request (P4).
 TEST(EntryTest, AnswerAfterTheDeadlineIsDropped) {
   ScriptPeer agent("a");
@@ -29,7 +29,7 @@
       path.Call("GET", "/1", "", {"Cuminjunction-Timeout-Ms: 30"});
   EXPECT_EQ(first.status, 504);
   EXPECT_EQ(first.Outcome(), "unknown");
-  auto second = CallLater(path, "GET", "/2");
+  auto second = CallAsync(path, "GET", "/2");
   const std::vector<Submit> submits = agent.Wait<Submit>(2);
   agent.Send(AnswerTo(submits[0].id, "late"));
   agent.Send(AnswerTo(submits[1].id, "own"));
@@ -37,8 +37,8 @@
   EXPECT_EQ(path.Count("late_answers_total"), 1u);
 }
 
-// Guards against answers that arrive in another order than the requests
-// reaching the wrong callers (P4).
+// Guards against returning answers to the wrong callers when they arrive in
+// another order than the requests (P4).
 TEST(EntryTest, CrossedAnswersReachTheirCallers) {
   ScriptPeer agent("a");
   PathHarness path;
@@ -46,7 +46,7 @@
   std::vector<std::future<CallerAnswer>> calls;
   calls.reserve(8);
   for (int i = 0; i < 8; ++i)
-    calls.push_back(CallLater(path, "GET", StrCat("/", i)));
+    calls.push_back(CallAsync(path, "GET", StrCat("/", i)));
   const std::vector<Submit> submits = agent.Wait<Submit>(8);
   for (size_t i = submits.size(); i > 0; --i)
     agent.Send(AnswerTo(submits[i - 1].id, submits[i - 1].path));
@@ -54,13 +54,14 @@
     EXPECT_EQ(calls[static_cast<size_t>(i)].get().body, StrCat("/", i));
 }
 
-// Guards against an agent answering an attempt that it does not have.
+// Guards against accepting an answer from an agent that was not sent the
+// attempt.
 TEST(EntryTest, AnswerOfAnotherAgentIsDropped) {
   ScriptPeer a("a");
   ScriptPeer b("b");
   PathHarness path;
   ASSERT_TRUE(path.Connect({a.Listen(), b.Listen()}));
-  auto call = CallLater(path, "GET", "/1");
+  auto call = CallAsync(path, "GET", "/1");
   ASSERT_TRUE(WaitUntil([&] {
     return a.Received<Submit>().size() + b.Received<Submit>().size() == 1;
   }));
@@ -76,8 +77,8 @@
   EXPECT_EQ(call.get().body, "right");
 }
 
-// Guards against "unknown" where the agent confirms that the request has not
-// started, and against "not-run" where it does not.
+// Guards against "unknown" path_and_query the agent confirms that the request
+// has not started, and against "not-run" path_and_query it does not.
 TEST(EntryTest, RefusalAfterTheDeadlineMakesNotRunCertain) {
   ScriptPeer agent("a", [](Link* link, const Message& message) {
     if (const CancelAttempt* cancel = std::get_if<CancelAttempt>(&message))
@@ -93,14 +94,14 @@
   EXPECT_EQ(answer.Outcome(), "not-run");
 }
 
-// Guards against a non-idempotent request being sent again after its first
-// attempt was written and lost (P6), and an idempotent one not being.
+// Guards against retrying a non-idempotent request after its first attempt was
+// written and lost (P6), and against not retrying an idempotent one.
 TEST(EntryTest, LostAttemptIsRetriedOnlyWhenIdempotent) {
-  const auto hang_up = [](Link* link, const Message& message) {
+  const auto close_on_submit = [](Link* link, const Message& message) {
     if (std::holds_alternative<Submit>(message))
       link->CloseAfterWriting();
   };
-  ScriptPeer bad("a", hang_up);
+  ScriptPeer bad("a", close_on_submit);
   ScriptPeer good("b", AnswerWithPath);
   PathHarness path;
   const UpstreamEndpoint bad_endpoint = bad.Listen();
@@ -123,8 +124,8 @@
   EXPECT_GT(unknown, 0);
 }
 
-// Guards against a certain refusal ending a request that another upstream
-// could run.
+// Guards against failing a request after a refusal when another upstream can
+// run it.
 TEST(EntryTest, RefusedOrderGoesToAnotherUpstream) {
   const auto refuse = [](Link* link, const Message& message) {
     if (const Submit* submit = std::get_if<Submit>(&message))
@@ -153,7 +154,7 @@
   EXPECT_EQ(answer.headers.count("retry-after"), 1u);
 }
 
-// Guards against a part of an answer being passed on as the whole (P4).
+// Guards against returning a truncated answer as a whole one (P4).
 TEST(EntryTest, CutOffAnswerIsUnknown) {
   ScriptPeer agent("a", [](Link* link, const Message& message) {
     const Submit* submit = std::get_if<Submit>(&message);
@@ -172,8 +173,8 @@
   EXPECT_EQ(answer.Outcome(), "unknown");
 }
 
-// Guards against attempts that waited behind a stalled write being reported as
-// unknown: they certainly have not run and go elsewhere.
+// Guards against reporting attempts as unknown that were queued behind a
+// stalled write. They certainly have not run and are sent to another upstream.
 TEST(EntryTest, AttemptThatWasNeverWrittenIsSentElsewhere) {
   using boost::asio::ip::tcp;
   boost::asio::io_context context;
@@ -195,11 +196,11 @@
   ASSERT_TRUE(path.Connect({stalled}));
   tcp::socket socket = accepted.get();
   const std::string large(kMaxBodyBytes, 'x');
-  auto first = CallLater(path, "POST", "/large", large);
-  // Its 8 MiB fill the buffers of the connection.
+  auto first = CallAsync(path, "POST", "/large", large);
+  // The body of 8 MiB fills the buffers of the connection.
   ASSERT_TRUE(WaitUntil([&] { return path.Count("attempts_total") == 1; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
-  auto second = CallLater(path, "POST", "/small", "y");
+  auto second = CallAsync(path, "POST", "/small", "y");
   ASSERT_TRUE(WaitUntil([&] { return path.Count("attempts_total") == 2; }));
   ScriptPeer good("b", AnswerWithPath);
   path.entry->SetUpstreams({stalled, good.Listen()});
@@ -209,8 +210,8 @@
   EXPECT_EQ(second.get().body, "/small");
 }
 
-// Guards against a hedge that does not go out, and a loser that is not
-// cancelled.
+// Guards against a hedge that is not sent, and against not cancelling the
+// slower attempt.
 TEST(EntryTest, HedgeAnswersForASlowUpstream) {
   ScriptPeer a("a");
   ScriptPeer b("b");
@@ -218,7 +219,7 @@
   policy.hedge_delay = absl::Milliseconds(10);
   PathHarness path({}, policy);
   ASSERT_TRUE(path.Connect({a.Listen(), b.Listen()}));
-  auto call = CallLater(path, "GET", "/1");
+  auto call = CallAsync(path, "GET", "/1");
   const AttemptId first = a.Wait<Submit>(1)[0].id;
   const AttemptId second = b.Wait<Submit>(1)[0].id;
   EXPECT_EQ(first.attempt + second.attempt, 3u);
@@ -229,7 +230,7 @@
   EXPECT_EQ(slow.Wait<CancelAttempt>(1)[0].id.attempt, 1u);
 }
 
-// Guards against a hedge of a non-idempotent request (P6).
+// Guards against hedging a non-idempotent request (P6).
 TEST(EntryTest, OrderIsNeverHedged) {
   ScriptPeer a("a");
   ScriptPeer b("b");
@@ -241,11 +242,11 @@
   EXPECT_EQ(path.Count("attempts_total"), 1u);
 }
 
-// Guards against damaged bytes of an agent ending the entry or the connection
-// to other agents; the entry connects again.
+// Guards against an invalid message from an agent that crashes the entry or
+// closes the connections to other agents, and against not reconnecting.
 TEST(EntryTest, DamagedBytesOfAnAgentCloseItsConnectionOnly) {
   ScriptPeer bad("bad", [](Link* link, const Message& message) {
-    // An entry never gets a Submit.
+    // Only an entry may send a Submit.
     if (const Submit* submit = std::get_if<Submit>(&message))
       link->Send(*submit);
   });
@@ -278,8 +279,8 @@
   std::string released;
 };
 
-// Guards against a request with a key that was not claimed running, and
-// against a claim that outlives a request that was not run.
+// Guards against running a request whose idempotency key was not claimed, and
+// against keeping the claim of a request that has not run.
 TEST(EntryTest, OrderWithAKeyRunsOnlyWithTheClaim) {
   ScriptPeer agent("a", AnswerWithPath);
   FixedClaims claims;
@@ -300,14 +301,15 @@
   EXPECT_EQ(claims.released, "silent");
 }
 
-// Guards against errors without a type or an outcome.
+// Guards against errors without their HTTP status or outcome.
 TEST(EntryTest, BadRequestsAreAnsweredWithTheirType) {
   PathHarness path;
-  const auto call = [&](const std::string& method, const std::string& where,
+  const auto call = [&](const std::string& method,
+                        const std::string& path_and_query,
                         const std::vector<std::string>& headers,
                         const std::string& body = "") {
     const CallerAnswer answer =
-        CallEntry(path.port, method, where, headers, body);
+        CallEntry(path.port, method, path_and_query, headers, body);
     EXPECT_EQ(answer.Outcome(), "not-run");
     return answer.status;
   };
@@ -330,7 +332,7 @@
             413);
 }
 
-// Guards against foreign bytes on the HTTP port ending the entry.
+// Guards against foreign bytes on the HTTP port that crash the entry.
 TEST(EntryTest, ForeignBytesOnTheHttpPortAreSurvived) {
   PathHarness path;
   for (const std::string& bytes :
@@ -344,7 +346,7 @@
   EXPECT_EQ(path.Call("GET", "/").status, 503);
 }
 
-// Guards against a routing decision that can't be explained.
+// Guards against a routing decision that Explain() does not return.
 TEST(EntryTest, DecisionsOfARequestAreKept) {
   ScriptPeer agent("a", AnswerWithPath);
   PathHarness path;
--- a/request/testing/load_tools_test.cc
+++ b/request/testing/load_tools_test.cc
@@ -1,5 +1,5 @@
-// Tests of the tools that measure the request path: what they miss, no bench
-// sees.
+// Tests of the tools that measure the request path. The benchmarks can't detect
+// failures that these tools miss.
 
 #include <gtest/gtest.h>
 
@@ -27,8 +27,8 @@
   return settings;
 }
 
-// Guards against executions that are not counted, so that an order that ran
-// twice would go unnoticed.
+// Guards against executions that are not counted, which would hide an order
+// that ran twice.
 TEST(LoadToolsTest, StandinCountsEachExecutionOfAKey) {
   UpstreamStandin standin({.service_us = 100});
   const uint16_t port = standin.Start().value();
@@ -43,9 +43,9 @@
   }
 }
 
-// Guards against callers whose connection is refused and who are not counted.
+// Guards against refused connections that are not counted.
 TEST(LoadToolsTest, RefusedConnectionsAreCounted) {
-  // Bound, so that nobody else listens there.
+  // Bound but not listening, so that no other process can listen on the port.
   boost::asio::io_context context;
   boost::asio::ip::tcp::acceptor bound(context);
   bound.open(boost::asio::ip::tcp::v4());
@@ -55,8 +55,8 @@
   EXPECT_EQ(result.flows[0].Count(CallEnd::kNotConnected), 200u);
 }
 
-// Guards against an upstream that answers more requests at a time than it has
-// slots, and against waiting requests that are never served.
+// Guards against an upstream stand-in that serves more concurrent requests than
+// it has slots, or never serves waiting requests.
 TEST(LoadToolsTest, RequestsBeyondTheSlotsWait) {
   UpstreamStandin standin({.slots = 1, .service_us = 1000});
   const uint16_t port = standin.Start().value();
@@ -66,8 +66,8 @@
   EXPECT_GT(result.flows[0].Quantile(0.99), 50000);
 }
 
-// Guards against replies that are cut at any byte, and against an outcome that
-// is not read.
+// Guards against misreading replies that arrive in pieces, split at any byte,
+// and against not reading the outcome.
 TEST(CallReplyTest, ReadsRepliesByteByByte) {
   const std::string text =
       "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 3\r\n"
@@ -88,7 +88,7 @@
   EXPECT_FALSE(reader.IsBroken());
 }
 
-// Guards against damaged replies that count as answers.
+// Guards against counting damaged replies as answers.
 TEST(CallReplyTest, DamagedRepliesAreBroken) {
   for (const char* text :
        {"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
--- a/request/testing/message_test.cc
+++ b/request/testing/message_test.cc
@@ -36,8 +36,8 @@
   EXPECT_EQ(std::get<Leaving>(Copy(Leaving{}).value()), Leaving{});
 }
 
-// Guards against a foreign peer passing a request line or header on that the
-// upstream would read as another request.
+// Guards against request smuggling: a request line or header from a peer that
+// the upstream would parse as another request.
 TEST(MessageTest, FieldsThatBreakAnHttpHeadAreRefused) {
   const auto refused = [](const std::function<void(Submit*)>& change) {
     Submit submit = GoodSubmit();
@@ -58,15 +58,15 @@
   EXPECT_TRUE(refused([](Submit* s) { s->urgency = static_cast<Urgency>(3); }));
 }
 
-// Guards against any bytes ending the process.
+// Guards against bytes that crash the process.
 RC_GTEST_PROP(MessageTest, ArbitraryBytesNeverThrow, (std::string bytes)) {
   if (!bytes.empty())
     bytes[0] = static_cast<char>(1 + static_cast<unsigned char>(bytes[0]) % 9);
   (void)ReadMessage(bytes);
 }
 
-// Guards against a damaged message being read as another valid one of a kind
-// that its fields do not allow.
+// Guards against decoding a damaged message into one whose fields violate the
+// rules of its type.
 RC_GTEST_PROP(MessageTest, DamagedSubmitIsRefusedOrValid, (uint8_t bit)) {
   std::string payload;
   AppendMessage(GoodSubmit(), &payload);
--- a/request/testing/path_harness.h
+++ b/request/testing/path_harness.h
@@ -88,8 +88,8 @@
   return answer;
 }
 
-// Waits until the condition holds. Gives up after a time that is far beyond
-// what a loaded machine needs, so that a test fails instead of hanging.
+// Waits until the condition holds. Returns false after 30 s, far longer than a
+// loaded machine needs, so that a test fails instead of hanging.
 inline bool WaitUntil(const std::function<bool()>& condition) {
   for (int i = 0; i < 6000; ++i) {
     if (condition())
@@ -106,7 +106,7 @@
   return RequestChart::Compile(chart.value()).value();
 }
 
-// A document with the service "check" for which GET is idempotent.
+// A configuration with the service "check", for which GET is idempotent.
 inline std::shared_ptr<const Document> TestDocument() {
   auto document = std::make_shared<Document>();
   document->accounts["growers"].name = "growers";
@@ -186,7 +186,7 @@
     return this->agents.back().get();
   }
 
-  // Gives the endpoints to the entry and waits for the connections.
+  // Sets the endpoints at the entry and waits until all are connected.
   bool Connect(std::vector<UpstreamEndpoint> endpoints = {}) {
     for (const auto& agent : this->agents)
       endpoints.push_back(agent->endpoint);
--- a/request/testing/path_test.cc
+++ b/request/testing/path_test.cc
@@ -1,4 +1,4 @@
-// The request path over real sockets: entry, agent and upstream.
+// End-to-end tests of the request path over sockets: entry, agent and upstream.
 
 #include <future>
 
@@ -7,7 +7,7 @@
 namespace cuminjunction {
 namespace {
 
-// Guards against a break anywhere on the path of a plain request.
+// Guards against a failure anywhere on the path of a plain request.
 TEST(PathTest, AnswersThroughEntryAndAgent) {
   ScriptUpstream upstream([](const ScriptRequest& request) {
     return Reply(StrCat(request.head.substr(0, request.head.find('\r')), "|",
@@ -44,7 +44,7 @@
 }
 
 // Guards against chunks of large bodies being lost, mixed up or reordered when
-// several travel at a time in both directions.
+// several are sent concurrently in both directions.
 TEST(PathTest, LargeBodiesBothWays) {
   ScriptUpstream upstream([](const ScriptRequest& request) {
     return Reply(request.body + request.body.substr(0, 1));
@@ -69,7 +69,7 @@
     EXPECT_TRUE(call.get());
 }
 
-// Guards against an answer above the limit being cut and passed on.
+// Guards against truncating and returning an answer above the size limit.
 TEST(PathTest, AnswerAboveTheLimitIsUnknown) {
   ScriptUpstream upstream([](const ScriptRequest&) {
     return Reply(std::string(kMaxBodyBytes + 1, 'x'));
@@ -83,8 +83,8 @@
 }
 
 // Guards against an entry that reports an order as not run, or sends it again,
-// when its agent is killed in the middle of it; what other agents can repeat
-// is repeated.
+// when its agent is killed during the request, and against not retrying an
+// idempotent request at another agent.
 TEST(PathTest, AgentKilledMidRequest) {
   const auto slow = [](const ScriptRequest&) {
     ScriptReaction reaction = Reply("slow");
@@ -121,7 +121,7 @@
   EXPECT_LT(answered, 4);
 }
 
-// Callers that send orders without a pause until told to end. Counts the
+// Callers that send orders back to back until End() is called. Counts the
 // outcomes.
 struct Load {
   explicit Load(const PathHarness& path) {
@@ -152,8 +152,8 @@
   std::vector<std::thread> callers;
 };
 
-// Guards against the planned stop of an agent cutting off a request or leaving
-// one unknown (P8).
+// Guards against a planned stop of an agent that fails a request or leaves its
+// outcome unknown (P8).
 TEST(PathTest, AgentLeavesUnderLoad) {
   ScriptUpstream upstream([](const ScriptRequest&) { return Reply("done"); });
   PathHarness path({}, {.retry_share = 0, .burst = 0});
@@ -176,7 +176,7 @@
   EXPECT_EQ(load.failed, 0);
 }
 
-// Guards against the planned stop of an entry cutting off a request (P8).
+// Guards against a planned stop of an entry that fails a request (P8).
 TEST(PathTest, EntryDrainsUnderLoad) {
   ScriptUpstream upstream([](const ScriptRequest&) {
     ScriptReaction reaction = Reply("done");
@@ -198,8 +198,8 @@
   EXPECT_EQ(load.failed, 0);
 }
 
-// Guards against memory that grows without bound for callers that send bodies
-// and do not read.
+// Guards against unbounded memory growth from callers that send bodies and do
+// not read the answers.
 TEST(PathTest, HeldBytesAreBounded) {
   ScriptUpstream upstream([](const ScriptRequest&) { return Reply("x"); });
   EntryOptions options;
--- a/request/testing/script_peer.h
+++ b/request/testing/script_peer.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_TESTING_SCRIPT_PEER_H_
 #define REQUEST_TESTING_SCRIPT_PEER_H_
 
-// The other side of a framed connection for tests: an agent or an entry that
-// sends what the test says and records what it receives.
+// A scripted peer of a framed connection for tests: an agent or an entry that
+// sends the messages of the test and records those it receives.
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -56,13 +56,13 @@
     });
   }
 
-  // Connects as an entry. Says Hello unless `incarnation` is 0.
+  // Connects as an entry. Sends Hello unless `incarnation` is 0.
   void Connect(uint16_t port, uint64_t incarnation) {
     this->thread.Call([&] {
       using boost::asio::ip::tcp;
       tcp::socket socket(this->thread.Context());
       socket.connect({boost::asio::ip::address_v4::loopback(), port});
-      this->Adopt(std::move(socket), incarnation);
+      this->StartLink(std::move(socket), incarnation);
       return 0;
     });
   }
@@ -85,7 +85,7 @@
     });
   }
 
-  // Writes bytes that are no frame.
+  // Writes bytes to the raw connection without framing them.
   void SendRaw(const std::string& bytes) {
     this->thread.Call([&] {
       boost::system::error_code ignored;
@@ -94,8 +94,8 @@
     });
   }
 
-  // Opens a connection that only SendRaw() writes to; RawClosed() waits for
-  // its end.
+  // Opens a connection that only SendRaw() writes to. RawClosed() waits until
+  // the other side closes it.
   void ConnectRaw(uint16_t port) {
     this->raw.emplace(this->thread.Context());
     this->raw->connect({boost::asio::ip::address_v4::loopback(), port});
@@ -111,8 +111,8 @@
     });
   }
 
-  // Breaks the connection as the end of the process does.
-  void Break() {
+  // Closes the connection abruptly, as the exit of a process does.
+  void Disconnect() {
     this->thread.Call([this] {
       if (this->link)
         this->link->Close();
@@ -154,12 +154,12 @@
         [this](std::error_code error, boost::asio::ip::tcp::socket socket) {
           if (error)
             return;
-          this->Adopt(std::move(socket), 1);
+          this->StartLink(std::move(socket), 1);
           this->Accept();
         });
   }
 
-  void Adopt(boost::asio::ip::tcp::socket socket, uint64_t incarnation) {
+  void StartLink(boost::asio::ip::tcp::socket socket, uint64_t incarnation) {
     this->link = std::make_shared<Link>(std::move(socket), this);
     this->link->Start();
     if (incarnation > 0)
--- a/request/testing/script_upstream.h
+++ b/request/testing/script_upstream.h
@@ -1,8 +1,8 @@
 #ifndef REQUEST_TESTING_SCRIPT_UPSTREAM_H_
 #define REQUEST_TESTING_SCRIPT_UPSTREAM_H_
 
-// An HTTP upstream for tests that answers with whatever bytes a script gives,
-// also damaged, late or cut off ones.
+// An HTTP upstream for tests that answers with the bytes that a script returns,
+// including damaged, delayed or truncated answers.
 
 #include <atomic>
 #include <boost/asio/ip/tcp.hpp>
@@ -21,7 +21,7 @@
 
 namespace cuminjunction {
 
-// A request as the upstream sees it.
+// A request as received by the upstream.
 struct ScriptRequest {
   std::string head;
   std::string body;
@@ -32,7 +32,8 @@
   }
 };
 
-// What it does with a request.
+// Response of the script to a request: the bytes to write, the delay before the
+// write, and whether to close the connection afterwards.
 struct ScriptReaction {
   std::string bytes;
   std::chrono::milliseconds delay{0};
@@ -62,7 +63,7 @@
 
   ~ScriptUpstream() { this->Stop(); }
 
-  // Ends as a crash does: all connections break.
+  // Closes all connections, as a crash does.
   void Stop() {
     if (std::exchange(this->stopped, true))
       return;
@@ -100,7 +101,7 @@
 
     void OnHead(size_t size) {
       this->request = {};
-      this->request.head = this->Take(size);
+      this->request.head = this->Consume(size);
       const size_t at = this->request.head.find("Content-Length: ");
       size_t length = 0;
       if (at != std::string::npos)
@@ -118,7 +119,7 @@
                                                     size_t) {
             if (error)
               return;
-            self->request.body = self->Take(length);
+            self->request.body = self->Consume(length);
             self->React();
           });
     }
@@ -148,7 +149,7 @@
                                });
     }
 
-    std::string Take(size_t size) {
+    std::string Consume(size_t size) {
       const auto begin = boost::asio::buffers_begin(this->buffer.data());
       std::string out(begin, begin + static_cast<std::ptrdiff_t>(size));
       this->buffer.consume(size);
