--- a/task/testing/schedule.h
+++ b/task/testing/schedule.h
@@ -20,6 +20,8 @@
 
 namespace cuminjunction {
 
+// A fault, or an action of an operator or of the configuration, which is
+// applied in the same way.
 enum class Fault : uint8_t {
   kOutage = 0,
   kFailCalls,
--- a/task/worker_agent.h
+++ b/task/worker_agent.h
@@ -119,6 +119,7 @@
     this->checkpoint_failures.clear();
   }
 
+  // True when an ended attempt or an evicted one may have to be reported.
   bool HasEndedWork(const RuntimeState& state) const {
     return !state.ended.empty() || !this->checkpoints.empty();
   }
@@ -185,10 +186,10 @@
   // is not fenced; registers under a new epoch otherwise.
   bool EnsureRegistered(const RuntimeState& state) {
     const WorkerRow& row = this->worker.row;
-    const bool is_mine = this->worker.version != 0 &&
-                         row.boot_id == this->boot_id &&
-                         row.state != WorkerState::kFenced;
-    if (is_mine) {
+    const bool is_current_registration = this->worker.version != 0 &&
+                                         row.boot_id == this->boot_id &&
+                                         row.state != WorkerState::kFenced;
+    if (is_current_registration) {
       if (!this->registered || this->epoch != row.epoch)
         this->BeginEpoch(row.epoch);
       return true;
@@ -213,6 +214,7 @@
     return true;
   }
 
+  // Starts to act under an epoch, with no renewal in flight.
   void BeginEpoch(uint64_t new_epoch) {
     this->holder.Reset();
     this->unconfirmed_deadline.reset();
@@ -251,7 +253,8 @@
   }
 
   // Reconciles the runtime with the assignments of the current epoch. Returns
-  // false when a step failed and has to be repeated.
+  // false when a step failed or has not completed, so that the tick must be
+  // repeated.
   bool Reconcile(const RuntimeState& state) {
     std::map<std::string, const RunningTask*> running;
     for (const RunningTask& task : state.running)
@@ -418,6 +421,7 @@
     return true;
   }
 
+  // Adds the transition that reports the outcome of an attempt to the batch.
   Status AddReport(const TaskEntry& task,
                    const EndedTask& ended,
                    Batch* batch) {
