--- a/task/testing/checker.h
+++ b/task/testing/checker.h
@@ -4,13 +4,11 @@
 // Checks the invariants of the task core against the attempts that the runtimes
 // execute and against every change of the rows.
 //
-//   P1  The tasks that a VM runs, and the assignments that a worker row
-//   commits,
-//       fit in the capacity of the VM.
+//   P1  The tasks that a VM runs, and those that its worker row assigns, fit in
+//       the capacity of the VM.
 //   P2  No task runs in two places at the same time.
-//   P3  No attempt is executed twice. Finished and cancelled tasks do not
-//   change
-//       state again, and a finished task has the output of its newest attempt.
+//   P3  No attempt is executed twice. Finished and cancelled tasks keep their
+//       state, and a finished task has the output of its newest attempt.
 
 #include <algorithm>
 #include <map>
--- a/task/testing/failure_test.cc
+++ b/task/testing/failure_test.cc
@@ -234,8 +234,8 @@
   ExpectNoViolations(cluster);
 }
 
-// Guards against placements that exceed a quota after it was lowered below the
-// usage, and against the eviction of tasks that run already.
+// Guards against placements that exceed a quota, also after it was lowered
+// below the usage, and against the eviction of tasks that run already.
 TEST_F(FailureTest, QuotaLoweredBelowTheUse) {
   SimulatedCluster cluster = MakeCluster(2, 2);
   Document document = OneJob();
