--- a/bench/members_fleet.h
+++ b/bench/members_fleet.h
@@ -229,7 +229,7 @@
     const std::array<size_t, 12> domains = {0, 1, 2, 0, 3, 4, 5, 3, 6, 6, 6, 6};
     const std::string name = StrCat("entry-", index);
     options.self = this->MakeSelf(name, Role::kEntry, domains.at(index));
-    options.view.topology = topology;
+    options.table.topology = topology;
     options.seeds = this->seeds;
     EntryListener listener;
     listener.thread = &this->listener_thread;
--- a/daemon/agent_process.cc
+++ b/daemon/agent_process.cc
@@ -179,7 +179,7 @@
   ConfigNodeOptions options;
   options.name = this->settings.name;
   options.expected_peers = static_cast<int>(
-      std::min(this->settings.seeds.size(), HeartbeatOptions().contacts));
+      std::min(this->settings.seeds.size(), HeartbeatOptions().contact_count));
   options.join_deadline = SteadyClock().Now() + kJoinTime;
   this->config = std::make_unique<ConfigTask>(
       &this->control, &this->net, options,
--- a/daemon/entry_process.cc
+++ b/daemon/entry_process.cc
@@ -345,7 +345,7 @@
     // An agent is told of new versions by the entries that it heartbeats to.
     if (HasEnded(member.state))
       this->config->OnPeerLost(member.name);
-    else if (member.role == Role::kEntry || change.first_hand)
+    else if (member.role == Role::kEntry || change.observed_locally)
       this->NoticeVersion(member.config_version, member);
   }
   this->SpreadUpstreams();
--- a/daemon/version_survey.cc
+++ b/daemon/version_survey.cc
@@ -16,7 +16,7 @@
   const absl::Time now = SteadyClock().Now();
   VersionsReply reply;
   for (const auto& [name_hash, record] : this->gossip->Table().Records()) {
-    if (View::IsHeardDirectly(record, now))
+    if (MemberTable::HasDirectEvidence(record, now))
       reply.nodes.push_back({record.member.name, record.member.config_version});
   }
   reply.nodes.push_back(
@@ -37,7 +37,7 @@
     const auto record =
         this->gossip->Table().Records().find(HashName(member.name));
     const bool heard_here = record != this->gossip->Table().Records().end() &&
-                            View::IsHeardDirectly(record->second, now);
+                            MemberTable::HasDirectEvidence(record->second, now);
     if (found != this->reported.end() && !heard_here)
       member.config_version = found->second;
   }
--- a/membership/agent_heartbeat.cc
+++ b/membership/agent_heartbeat.cc
@@ -24,31 +24,31 @@
       listener(std::move(listener)),
       self(options.self),
       socket(&thread->Context(), metrics),
-      beat_timer(thread->Context()),
+      heartbeat_timer(thread->Context()),
       leave_timer(thread->Context()) {}
 
 Status AgentHeartbeat::Open() {
   BOOST_OUTCOME_TRY(this->socket.Open(
       {this->self.host, this->self.port},
       [this](Datagram message, const UdpAddress& from) {
-        if (const auto* heard = std::get_if<Acknowledgement>(&message))
-          this->Hear(*heard, from);
+        if (const auto* received = std::get_if<Acknowledgement>(&message))
+          this->OnAcknowledgement(*received, from);
       }));
   this->self.port = this->socket.Port();
   if (this->self.incarnation == 0)
     this->self.incarnation = absl::ToUnixMillis(SystemClock().Now());
   const absl::Time now = this->clock.Now();
   this->ChooseContacts(now);
-  this->BeatAtOnce();
+  this->SendHeartbeats();
   // The phase spreads the agents of a fleet that starts at once.
   const auto phase = static_cast<int64_t>(HashName(this->self.name) %
                                           this->options.heartbeat_interval_ms);
-  this->ScheduleBeat(now + absl::Milliseconds(phase));
+  this->ScheduleHeartbeat(now + absl::Milliseconds(phase));
   return Ok();
 }
 
 void AgentHeartbeat::Close() {
-  this->beat_timer.cancel();
+  this->heartbeat_timer.cancel();
   this->leave_timer.cancel();
   this->socket.Close();
 }
@@ -72,7 +72,7 @@
   if (has_departed || this->self.state == state)
     return;
   this->self.state = state;
-  this->BeatAtOnce();
+  this->SendHeartbeats();
 }
 
 void AgentHeartbeat::Leave(std::function<void()> done) {
@@ -83,9 +83,9 @@
   this->AnnounceDeparture(MemberState::kLeft, std::move(done));
 }
 
-void AgentHeartbeat::Hear(const Acknowledgement& acknowledgement,
-                          const UdpAddress& from) {
-  this->HearConfigVersion(acknowledgement.config_version, from);
+void AgentHeartbeat::OnAcknowledgement(const Acknowledgement& acknowledgement,
+                                       const UdpAddress& from) {
+  this->ReportConfigVersion(acknowledgement.config_version, from);
   if (acknowledgement.sequence == 0)
     return;
   if (this->departure.sequence > 0 &&
@@ -103,16 +103,16 @@
   if (acknowledgement.entries)
     contact.entries_hash = HashEntries(*acknowledgement.entries);
   if (acknowledgement.higher_incarnation >= this->self.incarnation) {
-    this->Restart(acknowledgement.higher_incarnation);
+    this->RaiseIncarnation(acknowledgement.higher_incarnation);
     return;
   }
   if (acknowledgement.lacks_announcement)
-    this->SendTo(&contact);
+    this->SendHeartbeat(&contact);
   if (acknowledgement.entries)
-    this->HearEntries(*acknowledgement.entries);
+    this->UpdateEntries(*acknowledgement.entries);
 }
 
-void AgentHeartbeat::HearEntries(const std::vector<EntryContact>& entries) {
+void AgentHeartbeat::UpdateEntries(const std::vector<EntryContact>& entries) {
   if (entries.empty() || entries == this->entries)
     return;
   // The first list replaces the seeds at once.
@@ -126,9 +126,10 @@
         [notify = this->listener.on_entries, entries] { notify(entries); });
 }
 
-void AgentHeartbeat::HearConfigVersion(uint64_t version,
-                                       const UdpAddress& from) {
-  // Told again until this process runs it: the entry asked first may fail.
+void AgentHeartbeat::ReportConfigVersion(uint64_t version,
+                                         const UdpAddress& from) {
+  // Reported again until this process runs the version: the entry reported
+  // first may fail before it sends the configuration.
   if (version <= this->self.config_version)
     return;
   const std::vector<EntryContact> known = this->Candidates();
@@ -148,7 +149,7 @@
 // stepped back between two starts. A departure is final and takes no new one.
 // The next beat announces it: two processes that were given the same name would
 // otherwise raise each other's incarnation without a pause.
-void AgentHeartbeat::Restart(uint64_t higher_incarnation) {
+void AgentHeartbeat::RaiseIncarnation(uint64_t higher_incarnation) {
   if (this->self.state == MemberState::kLeaving ||
       this->self.state == MemberState::kLeft)
     return;
@@ -157,39 +158,39 @@
     contact.has_announcement = false;
 }
 
-void AgentHeartbeat::ScheduleBeat(absl::Time at) {
+void AgentHeartbeat::ScheduleHeartbeat(absl::Time at) {
   const absl::Duration wait = at - this->clock.Now();
-  this->beat_timer.expires_after(absl::ToChronoMicroseconds(wait));
-  this->beat_timer.async_wait(
+  this->heartbeat_timer.expires_after(absl::ToChronoMicroseconds(wait));
+  this->heartbeat_timer.async_wait(
       [this, at](const boost::system::error_code& error) {
         if (error)
           return;
-        this->Beat();
+        this->SendScheduledHeartbeats();
         // A late beat moves the following ones, instead of sending several.
         const absl::Time next =
             std::max(at, this->clock.Now()) +
             absl::Milliseconds(this->options.heartbeat_interval_ms);
-        this->ScheduleBeat(next);
+        this->ScheduleHeartbeat(next);
       });
 }
 
-void AgentHeartbeat::Beat() {
+void AgentHeartbeat::SendScheduledHeartbeats() {
   const absl::Time now = this->clock.Now();
-  this->ReviewContacts(now);
-  this->BeatAtOnce();
+  this->ReplaceSilentContacts(now);
+  this->SendHeartbeats();
 }
 
-void AgentHeartbeat::BeatAtOnce() {
+void AgentHeartbeat::SendHeartbeats() {
   ++this->sequence;
   for (auto& [address, contact] : this->contacts)
-    this->SendTo(&contact);
+    this->SendHeartbeat(&contact);
 }
 
 // All contacts get the same sequence. One that is picked between two beats, or
 // asks for the announcement, has not seen the present sequence with it yet.
-void AgentHeartbeat::SendTo(Contact* contact) {
+void AgentHeartbeat::SendHeartbeat(Contact* contact) {
   Heartbeat heartbeat;
-  heartbeat.brief = MakeBrief(this->self, this->sequence);
+  heartbeat.summary = MakeSummary(this->self, this->sequence);
   heartbeat.entries_hash = contact->entries_hash;
   if (!contact->has_announcement)
     heartbeat.announcement = this->self;
@@ -197,25 +198,25 @@
   this->socket.Send(EncodeMessage(heartbeat), AddressOf(contact->entry));
 }
 
-void AgentHeartbeat::SendLast(const Contact& contact) {
+void AgentHeartbeat::SendLastHeartbeat(const Contact& contact) {
   Heartbeat heartbeat;
-  heartbeat.brief = MakeBrief(this->self, this->sequence);
+  heartbeat.summary = MakeSummary(this->self, this->sequence);
   heartbeat.is_last = true;
   this->socket.Send(EncodeMessage(heartbeat), AddressOf(contact.entry));
 }
 
-void AgentHeartbeat::ReviewContacts(absl::Time now) {
+void AgentHeartbeat::ReplaceSilentContacts(absl::Time now) {
   bool is_silent = false;
   for (const auto& [address, contact] : this->contacts) {
-    if (contact.unanswered < this->options.most_unanswered)
+    if (contact.unanswered < this->options.max_unanswered)
       continue;
     is_silent = true;
-    this->avoided_until[address] =
+    this->avoidance_expiry[address] =
         now + absl::Milliseconds(this->options.avoid_ms);
   }
   // With fewer contacts than wanted, the avoided ones are tried again too.
   if (is_silent || this->has_new_entries ||
-      this->contacts.size() < this->options.contacts)
+      this->contacts.size() < this->options.contact_count)
     this->ChooseContacts(now);
 }
 
@@ -234,14 +235,15 @@
 
 void AgentHeartbeat::ChooseContacts(absl::Time now) {
   this->has_new_entries = false;
-  std::erase_if(this->avoided_until,
+  std::erase_if(this->avoidance_expiry,
                 [now](const auto& avoided) { return avoided.second < now; });
   std::set<UdpAddress> avoided;
-  for (const auto& [address, until] : this->avoided_until)
+  for (const auto& [address, until] : this->avoidance_expiry)
     avoided.insert(address);
   std::map<UdpAddress, Contact> chosen;
-  for (const EntryContact& entry : ChooseEntries(
-           this->self, this->Candidates(), avoided, this->options.contacts)) {
+  for (const EntryContact& entry :
+       ChooseEntries(this->self, this->Candidates(), avoided,
+                     this->options.contact_count)) {
     const auto known = this->contacts.find(AddressOf(entry));
     Contact& contact = chosen[AddressOf(entry)];
     if (known != this->contacts.end())
@@ -251,12 +253,12 @@
   const auto previous = std::exchange(this->contacts, std::move(chosen));
   for (const auto& [address, contact] : previous) {
     if (!this->contacts.contains(address))
-      this->SendLast(contact);
+      this->SendLastHeartbeat(contact);
   }
   for (auto& [address, contact] : this->contacts) {
     if (this->sequence > 0 && !previous.contains(address))
-      this->SendTo(&contact);
-    else if (contact.unanswered >= this->options.most_unanswered)
+      this->SendHeartbeat(&contact);
+    else if (contact.unanswered >= this->options.max_unanswered)
       contact.unanswered = 0;
   }
 }
@@ -281,7 +283,7 @@
   }
   --this->departure.attempts_left;
   Heartbeat heartbeat;
-  heartbeat.brief = MakeBrief(this->self, this->departure.sequence);
+  heartbeat.summary = MakeSummary(this->self, this->departure.sequence);
   const std::string bytes = EncodeMessage(heartbeat);
   for (const UdpAddress& address : this->departure.unacknowledged)
     this->socket.Send(bytes, address);
--- a/membership/agent_heartbeat.h
+++ b/membership/agent_heartbeat.h
@@ -34,8 +34,8 @@
 
 namespace cuminjunction {
 
-// Who is told what the agent learns. The functions are run as messages on
-// `thread`; either may be empty.
+// Receiver of the events of an agent. The functions run on `thread`; either may
+// be empty.
 struct AgentListener {
   EventThread* thread = nullptr;
   // An entry has a configuration version above that of this process.
@@ -91,17 +91,18 @@
     std::function<void()> done;
   };
 
-  void Hear(const Acknowledgement& acknowledgement, const UdpAddress& from);
-  void HearEntries(const std::vector<EntryContact>& entries);
-  void HearConfigVersion(uint64_t version, const UdpAddress& from);
-  void Restart(uint64_t higher_incarnation);
-
-  void ScheduleBeat(absl::Time at);
-  void Beat();
-  void SendTo(Contact* contact);
-  void SendLast(const Contact& contact);
-  void BeatAtOnce();
-  void ReviewContacts(absl::Time now);
+  void OnAcknowledgement(const Acknowledgement& acknowledgement,
+                         const UdpAddress& from);
+  void UpdateEntries(const std::vector<EntryContact>& entries);
+  void ReportConfigVersion(uint64_t version, const UdpAddress& from);
+  void RaiseIncarnation(uint64_t higher_incarnation);
+
+  void ScheduleHeartbeat(absl::Time at);
+  void SendScheduledHeartbeats();
+  void SendHeartbeat(Contact* contact);
+  void SendLastHeartbeat(const Contact& contact);
+  void SendHeartbeats();
+  void ReplaceSilentContacts(absl::Time now);
   void ChooseContacts(absl::Time now);
   std::vector<EntryContact> Candidates() const;
 
@@ -114,16 +115,16 @@
   Member self;
   SteadyClock clock;
   UdpSocket socket;
-  boost::asio::steady_timer beat_timer;
+  boost::asio::steady_timer heartbeat_timer;
   boost::asio::steady_timer leave_timer;
   uint64_t sequence = 0;
   std::map<UdpAddress, Contact> contacts;
   std::vector<EntryContact> entries;
   // A list that came after the first takes effect with the next beat: while two
   // entries send different lists, an agent that acted on each at once would
-  // move back and forth as fast as they answer.
+  // switch contacts as fast as they answer.
   bool has_new_entries = false;
-  std::map<UdpAddress, absl::Time> avoided_until;
+  std::map<UdpAddress, absl::Time> avoidance_expiry;
   Departure departure;
 };
 
--- a/membership/digest_queue.cc
+++ b/membership/digest_queue.cc
@@ -7,47 +7,49 @@
 
 namespace {
 
-constexpr int kRounds = 3;
+constexpr int kRoundsPerChange = 3;
 
-// As in view.cc: keeps a datagram below 1,200 bytes.
-constexpr size_t kMaxBriefs = 40;
+// As in table.cc: keeps a datagram below 1,200 bytes.
+constexpr size_t kMaxSummaries = 40;
 constexpr size_t kMaxRecords = 6;
 
 // Changes of one round; those beyond wait for the next one, so that a mass
 // start does not flood the peers. Short ones have a bound of their own, so that
 // a leaving member does not wait behind those that start.
 constexpr size_t kMaxRoundRecords = 4 * kMaxRecords;
-constexpr size_t kMaxRoundBriefs = 3 * kMaxBriefs;
+constexpr size_t kMaxRoundSummaries = 3 * kMaxSummaries;
 
-// Collects what one round tells into datagrams.
-class Packer {
+// Packs the summaries and records of one round into digests.
+class DigestPacker {
  public:
-  explicit Packer(View* view) : view(view) { this->Open(); }
+  explicit DigestPacker(MemberTable* table) : table(table) {
+    this->StartDigest();
+  }
 
-  void Add(const Brief& brief) {
-    if (this->digests.back().briefs.size() >= kMaxBriefs ||
+  void Add(const MemberSummary& summary) {
+    if (this->digests.back().summaries.size() >= kMaxSummaries ||
         this->digests.back().records.size() >= kMaxRecords)
-      this->Open();
-    this->digests.back().briefs.push_back(brief);
+      this->StartDigest();
+    this->digests.back().summaries.push_back(summary);
   }
 
   void Add(const FullRecord& record) {
     if (this->digests.back().records.size() >= kMaxRecords ||
-        this->digests.back().briefs.size() >= kMaxBriefs / 2)
-      this->Open();
+        this->digests.back().summaries.size() >= kMaxSummaries / 2)
+      this->StartDigest();
     this->digests.back().records.push_back(record);
   }
 
-  std::vector<Digest> Take() { return std::move(this->digests); }
+  std::vector<Digest> TakeDigests() { return std::move(this->digests); }
 
  private:
-  void Open() {
+  void StartDigest() {
     Digest digest;
-    digest.sender = this->view->NextSelfBrief();
+    digest.sender = this->table->NextSelfSummary();
     this->digests.push_back(std::move(digest));
   }
 
-  View* view;
+  MemberTable* table;
   std::vector<Digest> digests;
 };
 
@@ -58,60 +60,62 @@
 }  // namespace
 
 DigestQueue::DigestQueue(const GossipOptions& options)
-    : topology(options.view.topology),
-      slices(CountSlices(options)),
+    : topology(options.table.topology),
+      slice_count(CountSlices(options)),
       region(options.self.region) {}
 
 void DigestQueue::Add(const std::vector<MemberChange>& changes,
-                      const View& view) {
+                      const MemberTable& table) {
   const bool relays = this->topology == Topology::kNeighbourhoods &&
-                      this->IsRepresentative(view);
+                      this->IsRepresentative(table);
   for (const MemberChange& change : changes) {
     // Unreachable is the judgement of one entry about its own links.
     if (change.member.state == MemberState::kUnreachable)
       continue;
-    if (!change.first_hand && !relays)
+    if (!change.observed_locally && !relays)
       continue;
-    this->items[HashName(change.member.name)] = {kRounds, change.appeared,
-                                                 change.first_hand};
+    this->queued_changes[HashName(change.member.name)] = {
+        kRoundsPerChange, change.appeared, change.observed_locally};
   }
 }
 
-Round DigestQueue::NextRound(View* view, RoundKind kind, absl::Time now) {
+GossipRound DigestQueue::NextRound(MemberTable* table,
+                                   RoundKind kind,
+                                   absl::Time now) {
   std::vector<uint64_t> slice;
   if (kind == RoundKind::kRegular)
-    slice = this->NextSlice(*view);
-  const std::vector<uint64_t> told = this->NextItems();
-  Round round;
-  round.near = this->Make(view, Audience::kNear, told, slice, now);
+    slice = this->NextSlice(*table);
+  const std::vector<uint64_t> changed = this->NextChanges();
+  GossipRound round;
+  round.near = this->MakeDigests(table, Audience::kNear, changed, slice, now);
   if (this->topology == Topology::kNeighbourhoods &&
-      this->IsRepresentative(*view))
-    round.far = this->Make(view, Audience::kFar, told, slice, now);
-  for (const uint64_t name_hash : told) {
-    Item& item = this->items[name_hash];
+      this->IsRepresentative(*table))
+    round.far = this->MakeDigests(table, Audience::kFar, changed, slice, now);
+  for (const uint64_t name_hash : changed) {
+    QueuedChange& item = this->queued_changes[name_hash];
     item.with_record = false;
     if (--item.rounds_left == 0)
-      this->items.erase(name_hash);
+      this->queued_changes.erase(name_hash);
   }
   return round;
 }
 
-std::vector<uint64_t> DigestQueue::NextItems() const {
+std::vector<uint64_t> DigestQueue::NextChanges() const {
   std::vector<uint64_t> out;
-  size_t full = 0;
-  size_t brief = 0;
-  for (const auto& [name_hash, item] : this->items) {
-    size_t& count = item.with_record ? full : brief;
-    if (count++ < (item.with_record ? kMaxRoundRecords : kMaxRoundBriefs))
+  size_t record_count = 0;
+  size_t summary_count = 0;
+  for (const auto& [name_hash, item] : this->queued_changes) {
+    size_t& count = item.with_record ? record_count : summary_count;
+    if (count++ < (item.with_record ? kMaxRoundRecords : kMaxRoundSummaries))
       out.push_back(name_hash);
   }
   return out;
 }
 
-std::vector<Member> DigestQueue::Peers(const View& view) const {
+std::vector<Member> DigestQueue::Peers(const MemberTable& table) const {
   std::vector<Member> out;
   std::map<std::string, Member> representatives;
-  for (const auto& [name_hash, record] : view.Records()) {
+  for (const auto& [name_hash, record] : table.Records()) {
     const Member& member = record.member;
     if (member.role != Role::kEntry || HasEnded(member.state))
       continue;
@@ -125,83 +129,85 @@
     if (member.name < first->second.name)
       first->second = member;
   }
-  if (this->IsRepresentative(view)) {
+  if (this->IsRepresentative(table)) {
     for (const auto& [region, member] : representatives)
       out.push_back(member);
   }
   return out;
 }
 
-bool DigestQueue::IsRepresentative(const View& view) const {
+bool DigestQueue::IsRepresentative(const MemberTable& table) const {
   if (this->topology == Topology::kFullMesh)
     return true;
-  for (const auto& [name_hash, record] : view.Records()) {
+  for (const auto& [name_hash, record] : table.Records()) {
     const Member& member = record.member;
     if (member.role == Role::kEntry && member.region == this->region &&
         IsAnnounced(member.state) && !HasEnded(member.state) &&
-        member.name < view.Self().name)
+        member.name < table.Self().name)
       return false;
   }
   return true;
 }
 
-// What was learned from another region is relayed into the own one, and what
-// was learned in the own region to the others.
-bool DigestQueue::IsFor(const Item& item,
-                        const Member& member,
-                        Audience audience) const {
-  if (item.first_hand)
+// A representative relays changes of other regions to its own region, and
+// changes of its own region to the others.
+bool DigestQueue::IsIncluded(const QueuedChange& item,
+                             const Member& member,
+                             Audience audience) const {
+  if (item.observed_locally)
     return true;
   return (member.region == this->region) == (audience == Audience::kFar);
 }
 
-bool DigestQueue::Vouches(const Record& record,
-                          Audience audience,
-                          const View& view,
-                          absl::Time now) const {
+bool DigestQueue::VouchesFor(const MemberRecord& record,
+                             Audience audience,
+                             const MemberTable& table,
+                             absl::Time now) const {
   if (!IsAnnounced(record.member.state) || HasEnded(record.member.state))
     return false;
-  if (View::IsHeardDirectly(record, now))
+  if (MemberTable::HasDirectEvidence(record, now))
     return true;
-  if (this->topology == Topology::kFullMesh || !this->IsRepresentative(view))
+  if (this->topology == Topology::kFullMesh || !this->IsRepresentative(table))
     return false;
   return (record.member.region == this->region) == (audience == Audience::kFar);
 }
 
-std::vector<uint64_t> DigestQueue::NextSlice(const View& view) {
+std::vector<uint64_t> DigestQueue::NextSlice(const MemberTable& table) {
   std::vector<uint64_t> out;
-  const auto& records = view.Records();
-  const size_t count = (records.size() + this->slices - 1) / this->slices;
-  auto it = records.lower_bound(this->cursor);
+  const auto& records = table.Records();
+  const size_t count =
+      (records.size() + this->slice_count - 1) / this->slice_count;
+  auto it = records.lower_bound(this->next_slice_hash);
   for (size_t i = 0; i < count && it != records.end(); ++i, ++it)
     out.push_back(it->first);
-  this->cursor = it == records.end() ? 0 : it->first;
+  this->next_slice_hash = it == records.end() ? 0 : it->first;
   return out;
 }
 
-std::vector<Digest> DigestQueue::Make(View* view,
-                                      Audience audience,
-                                      const std::vector<uint64_t>& told,
-                                      const std::vector<uint64_t>& slice,
-                                      absl::Time now) const {
-  Packer packer(view);
-  for (const uint64_t name_hash : told) {
-    const Item& item = this->items.at(name_hash);
-    const std::optional<FullRecord> full = view->FindFull(name_hash);
-    if (!full || !this->IsFor(item, full->member, audience))
+std::vector<Digest> DigestQueue::MakeDigests(
+    MemberTable* table,
+    Audience audience,
+    const std::vector<uint64_t>& changed,
+    const std::vector<uint64_t>& slice,
+    absl::Time now) const {
+  DigestPacker packer(table);
+  for (const uint64_t name_hash : changed) {
+    const QueuedChange& item = this->queued_changes.at(name_hash);
+    const std::optional<FullRecord> full = table->FindFull(name_hash);
+    if (!full || !this->IsIncluded(item, full->member, audience))
       continue;
     if (item.with_record)
       packer.Add(*full);
     else
-      packer.Add(MakeBrief(full->member, full->sequence));
+      packer.Add(MakeSummary(full->member, full->sequence));
   }
   for (const uint64_t name_hash : slice) {
-    const auto found = view->Records().find(name_hash);
-    if (found != view->Records().end() &&
-        this->Vouches(found->second, audience, *view, now))
-      packer.Add(MakeBrief(found->second.member, found->second.sequence));
+    const auto found = table->Records().find(name_hash);
+    if (found != table->Records().end() &&
+        this->VouchesFor(found->second, audience, *table, now))
+      packer.Add(MakeSummary(found->second.member, found->second.sequence));
   }
-  return packer.Take();
+  return packer.TakeDigests();
 }
 
 }  // namespace cuminjunction
--- a/membership/entry_gossip.cc
+++ b/membership/entry_gossip.cc
@@ -33,26 +33,27 @@
                          Metrics* metrics)
     : options(options),
       listeners(std::move(listeners)),
-      view(std::move(chart), options.view, WithIncarnation(options.self)),
+      table(std::move(chart), options.table, WithIncarnation(options.self)),
       queue(options),
       socket(&thread->Context(), metrics),
       tick_timer(thread->Context()),
-      region_bytes(metrics->GetCounter("membership_other_region_bytes_total",
-                                       "direction=\"sent\"")) {}
+      other_region_bytes(
+          metrics->GetCounter("membership_other_region_bytes_total",
+                              "direction=\"sent\"")) {}
 
 Status EntryGossip::Open() {
   BOOST_OUTCOME_TRY(this->socket.Open(
       {this->options.self.host, this->options.self.port},
       [this](const Datagram& message, const UdpAddress& from) {
-        this->Hear(message, from);
+        this->OnDatagram(message, from);
       }));
-  this->view.SetSelfPort(this->socket.Port());
-  this->contacts = this->view.EntryContacts();
-  this->contacts_hash = HashEntries(this->contacts);
+  this->table.SetSelfPort(this->socket.Port());
+  this->entry_contacts = this->table.EntryContacts();
+  this->entry_contacts_hash = HashEntries(this->entry_contacts);
   const absl::Time now = this->clock.Now();
   this->ContactSeeds(now);
   this->ScheduleTick(now +
-                     absl::Milliseconds(this->options.view.tick_interval_ms));
+                     absl::Milliseconds(this->options.table.tick_interval_ms));
   return Ok();
 }
 
@@ -62,16 +63,17 @@
 }
 
 void EntryGossip::SetConfigVersion(uint64_t version) {
-  if (version <= this->view.Self().config_version)
+  if (version <= this->table.Self().config_version)
     return;
-  this->view.SetConfigVersion(version);
-  Acknowledgement news;
-  news.config_version = version;
-  const std::string bytes = EncodeMessage(news);
+  this->table.SetConfigVersion(version);
+  Acknowledgement notice;
+  notice.config_version = version;
+  const std::string bytes = EncodeMessage(notice);
   const absl::Time now = this->clock.Now();
-  for (const auto& [name_hash, record] : this->view.Records()) {
+  for (const auto& [name_hash, record] : this->table.Records()) {
     const Member& member = record.member;
-    if (member.role == Role::kAgent && View::IsHeardDirectly(record, now))
+    if (member.role == Role::kAgent &&
+        MemberTable::HasDirectEvidence(record, now))
       this->Send(bytes, {member.host, member.port},
                  member.region != this->options.self.region);
   }
@@ -86,60 +88,60 @@
 }
 
 void EntryGossip::AnnounceDeparture(MemberState state) {
-  this->view.SetSelfState(state);
+  this->table.SetSelfState(state);
   // Agents learn from the changed list to heartbeat to other entries.
-  this->contacts = this->view.EntryContacts();
-  this->contacts_hash = HashEntries(this->contacts);
+  this->entry_contacts = this->table.EntryContacts();
+  this->entry_contacts_hash = HashEntries(this->entry_contacts);
   const absl::Time now = this->clock.Now();
   for (int i = 0; i < kDepartureRepeats; ++i)
     this->SendRound(RoundKind::kChangesOnly, now);
 }
 
-void EntryGossip::Hear(const Datagram& message, const UdpAddress& from) {
+void EntryGossip::OnDatagram(const Datagram& message, const UdpAddress& from) {
   if (const auto* heartbeat = std::get_if<Heartbeat>(&message))
-    this->HearHeartbeat(*heartbeat, from);
+    this->OnHeartbeat(*heartbeat, from);
   else if (const auto* digest = std::get_if<Digest>(&message))
-    this->HearDigest(*digest, from);
+    this->OnDigest(*digest, from);
   this->ReportChanges();
 }
 
-void EntryGossip::HearHeartbeat(const Heartbeat& heartbeat,
-                                const UdpAddress& from) {
+void EntryGossip::OnHeartbeat(const Heartbeat& heartbeat,
+                              const UdpAddress& from) {
   const HeartbeatOutcome outcome =
-      this->view.HearHeartbeat(heartbeat, this->clock.Now());
-  Acknowledgement answer;
-  answer.sequence = heartbeat.brief.sequence;
-  answer.config_version = this->view.Self().config_version;
-  answer.lacks_announcement = outcome.lacks_announcement;
-  answer.higher_incarnation = outcome.higher_incarnation;
-  if (heartbeat.entries_hash != this->contacts_hash)
-    answer.entries = this->contacts;
-  const auto found = this->view.Records().find(heartbeat.brief.name_hash);
-  const bool is_far = found != this->view.Records().end() &&
+      this->table.MergeHeartbeat(heartbeat, this->clock.Now());
+  Acknowledgement acknowledgement;
+  acknowledgement.sequence = heartbeat.summary.sequence;
+  acknowledgement.config_version = this->table.Self().config_version;
+  acknowledgement.lacks_announcement = outcome.lacks_announcement;
+  acknowledgement.higher_incarnation = outcome.higher_incarnation;
+  if (heartbeat.entries_hash != this->entry_contacts_hash)
+    acknowledgement.entries = this->entry_contacts;
+  const auto found = this->table.Records().find(heartbeat.summary.name_hash);
+  const bool is_far = found != this->table.Records().end() &&
                       found->second.member.region != this->options.self.region;
-  this->Send(EncodeMessage(answer), from, is_far);
+  this->Send(EncodeMessage(acknowledgement), from, is_far);
 }
 
-void EntryGossip::HearDigest(const Digest& digest, const UdpAddress& from) {
+void EntryGossip::OnDigest(const Digest& digest, const UdpAddress& from) {
   const std::vector<Digest> replies =
-      this->view.HearDigest(digest, this->clock.Now());
+      this->table.MergeDigest(digest, this->clock.Now());
   const std::optional<FullRecord> sender =
-      this->view.FindFull(digest.sender.name_hash);
+      this->table.FindFull(digest.sender.name_hash);
   const bool is_far =
       sender && sender->member.region != this->options.self.region;
   for (const Digest& reply : replies)
     this->Send(EncodeMessage(reply), from, is_far);
-  this->NoticeConfigVersion(digest.sender);
+  this->ReportConfigVersion(digest.sender);
 }
 
-void EntryGossip::NoticeConfigVersion(const Brief& sender) {
+void EntryGossip::ReportConfigVersion(const MemberSummary& sender) {
   const uint64_t version = sender.config_version;
-  const uint64_t known =
-      std::max(this->newest_config_version, this->view.Self().config_version);
-  if (version <= known)
+  const uint64_t newest_known =
+      std::max(this->newest_config_version, this->table.Self().config_version);
+  if (version <= newest_known)
     return;
   // The full record of a new entry follows; the version is noticed then.
-  const std::optional<FullRecord> full = this->view.FindFull(sender.name_hash);
+  const std::optional<FullRecord> full = this->table.FindFull(sender.name_hash);
   if (!full)
     return;
   this->newest_config_version = version;
@@ -159,7 +161,7 @@
           return;
         this->Tick();
         const absl::Duration interval =
-            absl::Milliseconds(this->options.view.tick_interval_ms);
+            absl::Milliseconds(this->options.table.tick_interval_ms);
         // After a pause the missed ticks are not made up for.
         this->ScheduleTick(std::max(at + interval, this->clock.Now()));
       });
@@ -167,7 +169,7 @@
 
 void EntryGossip::Tick() {
   const absl::Time now = this->clock.Now();
-  this->view.Tick(now);
+  this->table.Tick(now);
   this->ReportChanges();
   if (now >= this->next_round_at) {
     this->next_round_at =
@@ -181,8 +183,8 @@
 }
 
 void EntryGossip::SendRound(RoundKind kind, absl::Time now) {
-  const std::vector<Member> peers = this->queue.Peers(this->view);
-  const Round round = this->queue.NextRound(&this->view, kind, now);
+  const std::vector<Member> peers = this->queue.Peers(this->table);
+  const GossipRound round = this->queue.NextRound(&this->table, kind, now);
   const std::vector<std::string> near = EncodeAll(round.near);
   const std::vector<std::string> far = EncodeAll(round.far);
   for (const Member& peer : peers) {
@@ -200,7 +202,7 @@
   this->next_seeds_at =
       now + absl::Milliseconds(this->options.seed_interval_ms);
   std::set<UdpAddress> known = {{this->options.self.host, this->socket.Port()}};
-  for (const auto& [name_hash, record] : this->view.Records()) {
+  for (const auto& [name_hash, record] : this->table.Records()) {
     if (!HasEnded(record.member.state))
       known.insert({record.member.host, record.member.port});
   }
@@ -208,19 +210,19 @@
     if (known.contains(seed))
       continue;
     Digest digest;
-    digest.sender = this->view.NextSelfBrief();
-    digest.records = {*this->view.FindFull(digest.sender.name_hash)};
+    digest.sender = this->table.NextSelfSummary();
+    digest.records = {*this->table.FindFull(digest.sender.name_hash)};
     this->Send(EncodeMessage(digest), seed, false);
   }
 }
 
 void EntryGossip::ReportChanges() {
-  const std::vector<MemberChange> changes = this->view.TakeChanges();
+  const std::vector<MemberChange> changes = this->table.TakeChanges();
   if (changes.empty())
     return;
-  this->contacts = this->view.EntryContacts();
-  this->contacts_hash = HashEntries(this->contacts);
-  this->queue.Add(changes, this->view);
+  this->entry_contacts = this->table.EntryContacts();
+  this->entry_contacts_hash = HashEntries(this->entry_contacts);
+  this->queue.Add(changes, this->table);
   for (const EntryListener& listener : this->listeners) {
     if (listener.on_changes)
       listener.thread->Post(
@@ -228,7 +230,7 @@
   }
   const bool has_departure =
       std::any_of(changes.begin(), changes.end(), [](const auto& change) {
-        return change.first_hand &&
+        return change.observed_locally &&
                change.member.state == MemberState::kLeaving;
       });
   if (has_departure)
@@ -240,7 +242,7 @@
                        bool is_far) {
   this->socket.Send(bytes, to);
   if (is_far)
-    this->region_bytes.Add(bytes.size() + kHeaderBytesOnWire);
+    this->other_region_bytes.Add(bytes.size() + kIpUdpHeaderBytes);
 }
 
 }  // namespace cuminjunction
--- a/membership/entry_gossip.h
+++ b/membership/entry_gossip.h
@@ -29,22 +29,22 @@
 #include "base/time.h"
 #include "membership/digest_queue.h"
 #include "membership/member.h"
+#include "membership/member_table.h"
 #include "membership/message.h"
 #include "membership/options.h"
 #include "membership/udp_socket.h"
-#include "membership/view.h"
 
 namespace cuminjunction {
 
-// Who is told what the entry learns. The functions are run as messages on
-// `thread`; either may be empty.
+// Receiver of the events of an entry. The functions run on `thread`; either may
+// be empty.
 struct EntryListener {
   EventThread* thread = nullptr;
-  // Members that appeared or changed their state, as soon as it is known. The
-  // configuration version of a member changes without a report: Members() has
-  // it.
+  // Members that appeared or changed their state, as soon as the entry detects
+  // it. The configuration version of a member changes without a report:
+  // Members() has it.
   std::function<void(std::vector<MemberChange> changes)> on_changes;
-  // Another entry runs a configuration version above all that were told
+  // Another entry runs a configuration version above all that were reported
   // before and above that of this entry.
   std::function<void(uint64_t version, Member entry)> on_config_version;
 };
@@ -66,9 +66,9 @@
   void Close();
 
   // This entry first, then all other members.
-  std::vector<Member> Members() const { return this->view.Members(); }
-  const Member& Self() const { return this->view.Self(); }
-  const View& Table() const { return this->view; }
+  std::vector<Member> Members() const { return this->table.Members(); }
+  const Member& Self() const { return this->table.Self(); }
+  const MemberTable& Table() const { return this->table; }
 
   // The version in force at this entry. A higher one is passed to the agents
   // at once.
@@ -80,10 +80,10 @@
   void Depart();
 
  private:
-  void Hear(const Datagram& message, const UdpAddress& from);
-  void HearHeartbeat(const Heartbeat& heartbeat, const UdpAddress& from);
-  void HearDigest(const Digest& digest, const UdpAddress& from);
-  void NoticeConfigVersion(const Brief& sender);
+  void OnDatagram(const Datagram& message, const UdpAddress& from);
+  void OnHeartbeat(const Heartbeat& heartbeat, const UdpAddress& from);
+  void OnDigest(const Digest& digest, const UdpAddress& from);
+  void ReportConfigVersion(const MemberSummary& sender);
 
   void ScheduleTick(absl::Time at);
   void Tick();
@@ -95,7 +95,7 @@
 
   GossipOptions options;
   std::vector<EntryListener> listeners;
-  View view;
+  MemberTable table;
   DigestQueue queue;
   SteadyClock clock;
   UdpSocket socket;
@@ -104,9 +104,9 @@
   absl::Time next_seeds_at = absl::InfinitePast();
   uint64_t newest_config_version = 0;
   // Kept between changes of the table, since each heartbeat needs the hash.
-  std::vector<EntryContact> contacts;
-  uint32_t contacts_hash = 0;
-  Counter& region_bytes;
+  std::vector<EntryContact> entry_contacts;
+  uint32_t entry_contacts_hash = 0;
+  Counter& other_region_bytes;
 };
 
 }  // namespace cuminjunction
--- a/membership/member.cc
+++ b/membership/member.cc
@@ -21,7 +21,7 @@
   return kStateNames.at(static_cast<size_t>(state));
 }
 
-std::optional<MemberState> StateOf(std::string_view name) {
+std::optional<MemberState> ParseMemberState(std::string_view name) {
   for (size_t i = 0; i < kStateNames.size(); ++i) {
     if (kStateNames[i] == name)
       return static_cast<MemberState>(i);
--- a/membership/member.h
+++ b/membership/member.h
@@ -1,11 +1,11 @@
 #ifndef MEMBERSHIP_MEMBER_H_
 #define MEMBERSHIP_MEMBER_H_
 
-// What is known of one process of the system.
+// The description and state of one process of the cluster.
 //
 // A member is identified by its name. A process that restarts keeps its name
-// or its address and announces a higher incarnation, which replaces all that
-// was known of the lower one.
+// or its address and announces a higher incarnation, which replaces
+// all data of the lower one.
 //
 //   if (member.role == Role::kAgent && IsEligible(member.state))
 //     upstreams.push_back(member);
@@ -41,7 +41,7 @@
 std::string_view StateName(MemberState state);
 
 // The state of that name, or nullopt.
-std::optional<MemberState> StateOf(std::string_view name);
+std::optional<MemberState> ParseMemberState(std::string_view name);
 
 // Whether the member announces the state, as opposed to an entry judging it.
 bool IsAnnounced(MemberState state);
@@ -57,7 +57,7 @@
   std::string name;
   Role role = Role::kAgent;
   // Start of the process in milliseconds since the Unix epoch, raised when
-  // an entry knows a higher one for the same name.
+  // an entry has a higher one for the same name.
   uint64_t incarnation = 0;
   std::string host;
   // UDP port of the membership messages.
--- a/membership/message.cc
+++ b/membership/message.cc
@@ -22,8 +22,8 @@
   return Datagram(std::move(message).value());
 }
 
-bool IsValid(const Brief& brief) {
-  return brief.state <= kLastMemberState;
+bool IsValid(const MemberSummary& summary) {
+  return summary.state <= kLastMemberState;
 }
 
 bool IsValid(const Member& member) {
@@ -33,12 +33,12 @@
 
 // A member speaks only for the states that it may announce.
 bool IsValid(const Heartbeat& heartbeat) {
-  return IsAnnounced(heartbeat.brief.state) &&
-         (!heartbeat.announcement ||
-          (IsValid(*heartbeat.announcement) &&
-           HashName(heartbeat.announcement->name) ==
-               heartbeat.brief.name_hash &&
-           heartbeat.announcement->incarnation == heartbeat.brief.incarnation));
+  return IsAnnounced(heartbeat.summary.state) &&
+         (!heartbeat.announcement || (IsValid(*heartbeat.announcement) &&
+                                      HashName(heartbeat.announcement->name) ==
+                                          heartbeat.summary.name_hash &&
+                                      heartbeat.announcement->incarnation ==
+                                          heartbeat.summary.incarnation));
 }
 
 bool IsValid(const Acknowledgement&) {
@@ -47,8 +47,9 @@
 
 bool IsValid(const Digest& digest) {
   return IsAnnounced(digest.sender.state) &&
-         std::all_of(digest.briefs.begin(), digest.briefs.end(),
-                     [](const Brief& brief) { return IsValid(brief); }) &&
+         std::all_of(
+             digest.summaries.begin(), digest.summaries.end(),
+             [](const MemberSummary& summary) { return IsValid(summary); }) &&
          std::all_of(
              digest.records.begin(), digest.records.end(),
              [](const FullRecord& record) { return IsValid(record.member); });
@@ -114,7 +115,7 @@
   return Crc32(Encode(entries));
 }
 
-Brief MakeBrief(const Member& member, uint64_t sequence) {
+MemberSummary MakeSummary(const Member& member, uint64_t sequence) {
   return {HashName(member.name), member.incarnation, sequence, member.state,
           member.config_version};
 }
--- a/membership/message.h
+++ b/membership/message.h
@@ -42,8 +42,8 @@
   static std::string_view Message(DatagramError error);
 };
 
-// The changing part of what is known of a member: about 20 bytes.
-struct Brief {
+// The fields of a member that change while it runs: about 20 bytes.
+struct MemberSummary {
   uint64_t name_hash = 0;
   uint64_t incarnation = 0;
   // Counts the heartbeats of the incarnation; orders evidence of life.
@@ -51,7 +51,7 @@
   MemberState state = MemberState::kAlive;
   uint64_t config_version = 0;
 
-  bool operator==(const Brief&) const = default;
+  bool operator==(const MemberSummary&) const = default;
 
   // The hash takes 8 bytes as it is, since a variable-length integer would
   // take 10.
@@ -65,7 +65,7 @@
 
 // From an agent to an entry.
 struct Heartbeat {
-  Brief brief;
+  MemberSummary summary;
   // Hash of the entry list that this entry last sent to the agent.
   uint32_t entries_hash = 0;
   // The agent heartbeats to another entry from now on. Without this, the entry
@@ -79,7 +79,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(
-        this->brief,
+        this->summary,
         cereal::binary_data(&this->entries_hash, sizeof(this->entries_hash)),
         this->is_last, this->announcement);
   }
@@ -106,7 +106,7 @@
   }
 };
 
-// Everything that is known of a member.
+// All fields of a member.
 struct FullRecord {
   Member member;
   uint64_t sequence = 0;
@@ -121,20 +121,20 @@
 
 // From an entry to another entry.
 struct Digest {
-  Brief sender;
-  std::vector<Brief> briefs;
+  MemberSummary sender;
+  std::vector<MemberSummary> summaries;
   std::vector<FullRecord> records;
   // Name hashes whose full records the sender lacks.
-  std::vector<uint64_t> wanted;
-  // Asks for a brief of each member that the receiver vouches for.
-  bool wants_all = false;
+  std::vector<uint64_t> requested;
+  // Requests a summary of each member that the receiver vouches for.
+  bool requests_all = false;
 
   bool operator==(const Digest&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->sender, this->briefs, this->records, this->wanted,
-            this->wants_all);
+    archive(this->sender, this->summaries, this->records, this->requested,
+            this->requests_all);
   }
 };
 
@@ -149,8 +149,8 @@
 // Hash of an entry list, for telling whether it changed.
 uint32_t HashEntries(const std::vector<EntryContact>& entries);
 
-// The brief of a full record.
-Brief MakeBrief(const Member& member, uint64_t sequence);
+// The summary of a full record.
+MemberSummary MakeSummary(const Member& member, uint64_t sequence);
 
 }  // namespace cuminjunction
 
--- a/membership/options.h
+++ b/membership/options.h
@@ -34,8 +34,8 @@
   kNeighbourhoods,
 };
 
-// How an entry judges the members it knows.
-struct ViewOptions {
+// Failure detection and size of the member table of an entry.
+struct MemberTableOptions {
   Topology topology = Topology::kFullMesh;
   // Silence after which a member that heartbeats to this entry is suspected:
   // three heartbeats.
@@ -44,20 +44,20 @@
   int64_t dead_after_ms = 6000;
   // Silence after which a member known only from other entries is suspected:
   // three rounds of refresh_ms.
-  int64_t indirect_after_ms = 180000;
+  int64_t indirect_suspect_after_ms = 180000;
   // Time after which an unreachable member counts as dead. Regions lose
   // contact for minutes.
-  int64_t unreachable_for_ms = 1800000;
+  int64_t unreachable_dead_after_ms = 1800000;
   // How long a member that left or died is remembered. Longer than any other
   // entry can still hold it as alive.
   int64_t tombstone_ms = 600000;
   // Interval at which Tick() is called, and the lateness of a call above which
-  // the process takes itself for paused.
+  // the process assumes that it was paused.
   int64_t tick_interval_ms = 250;
   int64_t late_tolerance_ms = 250;
   // Members that must fall silent together before the own region counts as
   // unreachable. One rack holds 3 VMs, so a rack alone does not suffice.
-  int64_t least_silent_in_own_region = 4;
+  int64_t min_silent_in_own_region = 4;
   // Bound of the table, ended members included.
   size_t max_members = 4096;
 };
@@ -68,10 +68,10 @@
   Member self;
   // Membership addresses of entries to contact first.
   std::vector<UdpAddress> seeds;
-  ViewOptions view;
+  MemberTableOptions table;
   // Interval of digests in which nothing changed.
   int64_t digest_interval_ms = 2500;
-  // Interval of digests while changes are being told.
+  // Interval of digests while changes are queued.
   int64_t change_interval_ms = 250;
   // Time within which each member is mentioned to the other entries once.
   int64_t refresh_ms = 60000;
@@ -86,9 +86,9 @@
   std::vector<UdpAddress> seeds;
   int64_t heartbeat_interval_ms = 2500;
   // Number of entries that the agent heartbeats to.
-  size_t contacts = 2;
+  size_t contact_count = 2;
   // Unanswered heartbeats in a row after which another entry is picked.
-  int64_t most_unanswered = 3;
+  int64_t max_unanswered = 3;
   // Time for which an entry that did not answer is not picked again.
   int64_t avoid_ms = 30000;
   // Interval and number of the repetitions of a leave announcement to an entry
--- a/membership/testing/fleet.h
+++ b/membership/testing/fleet.h
@@ -1,8 +1,8 @@
 #ifndef MEMBERSHIP_TESTING_FLEET_H_
 #define MEMBERSHIP_TESTING_FLEET_H_
 
-// Entries and agents in memory, with a clock set by hand. Messages pass through
-// their encoded form.
+// A simulated cluster of entries and agents in memory with a manual clock.
+// Messages are encoded and parsed on their way.
 
 #include <gtest/gtest.h>
 
@@ -16,8 +16,8 @@
 
 #include "base/strings.h"
 #include "membership/digest_queue.h"
+#include "membership/member_table.h"
 #include "membership/message.h"
-#include "membership/view.h"
 
 namespace cuminjunction {
 
@@ -47,13 +47,13 @@
 }
 
 inline Heartbeat MakeHeartbeat(const Member& member, uint64_t sequence) {
-  return {MakeBrief(member, sequence), 0, false, member};
+  return {MakeSummary(member, sequence), 0, false, member};
 }
 
 class Fleet {
  public:
   struct Entry {
-    View view;
+    MemberTable table;
     DigestQueue queue;
     bool is_paused = false;
   };
@@ -64,7 +64,7 @@
     bool is_silent = false;
   };
   // Whether a message from the first to the second member is lost.
-  using IsCut = std::function<bool(const Member&, const Member&)>;
+  using IsPartitioned = std::function<bool(const Member&, const Member&)>;
 
   explicit Fleet(Topology topology = Topology::kFullMesh)
       : topology(topology) {}
@@ -75,10 +75,10 @@
     GossipOptions options;
     options.self =
         MakeMember(name, Role::kEntry, region, this->next_port++, incarnation);
-    options.view.topology = this->topology;
-    this->entries.emplace(name,
-                          Entry{View(MemberChart(), options.view, options.self),
-                                DigestQueue(options)});
+    options.table.topology = this->topology;
+    this->entries.emplace(
+        name, Entry{MemberTable(MemberChart(), options.table, options.self),
+                    DigestQueue(options)});
   }
 
   void AddAgent(const std::string& name,
@@ -96,7 +96,7 @@
       this->now += absl::Milliseconds(250);
       const bool is_regular = this->steps++ % 8 == 0;
       if (is_regular)
-        this->Beat();
+        this->SendHeartbeats();
       for (auto& [name, entry] : this->entries) {
         if (!entry.is_paused)
           this->Step(&entry, is_regular);
@@ -105,22 +105,22 @@
   }
 
   MemberState StateAt(const std::string& entry, const std::string& member) {
-    const auto full = this->entries.at(entry).view.FindFull(HashName(member));
+    const auto full = this->entries.at(entry).table.FindFull(HashName(member));
     return full ? full->member.state : MemberState::kLeft;
   }
 
-  bool Knows(const std::string& entry, const std::string& member) {
-    return this->entries.at(entry).view.FindFull(HashName(member)).has_value();
+  bool HasMember(const std::string& entry, const std::string& member) {
+    return this->entries.at(entry).table.FindFull(HashName(member)).has_value();
   }
 
   void Deliver(Entry* to, const Digest& digest) {
     const Result<Datagram> read = ParseMessage(EncodeMessage(digest));
     ASSERT_TRUE(read.has_value());
     const std::vector<Digest> replies =
-        to->view.HearDigest(std::get<Digest>(read.value()), this->now);
+        to->table.MergeDigest(std::get<Digest>(read.value()), this->now);
     for (auto& [name, entry] : this->entries) {
       if (HashName(name) != digest.sender.name_hash || entry.is_paused ||
-          this->is_cut(to->view.Self(), entry.view.Self()))
+          this->is_partitioned(to->table.Self(), entry.table.Self()))
         continue;
       for (const Digest& reply : replies)
         this->Deliver(&entry, reply);
@@ -131,48 +131,52 @@
   absl::Time now = absl::UnixEpoch();
   std::map<std::string, Entry> entries;
   std::map<std::string, Agent> agents;
-  IsCut is_cut = [](const Member&, const Member&) { return false; };
+  IsPartitioned is_partitioned = [](const Member&, const Member&) {
+    return false;
+  };
   // All changes that each entry reported, in order.
   std::map<std::string, std::vector<MemberChange>> changes;
 
  private:
-  void Beat() {
+  void SendHeartbeats() {
     for (auto& [name, agent] : this->agents) {
       if (agent.is_silent)
         continue;
       ++agent.sequence;
       for (const std::string& contact : agent.contacts) {
         Entry& entry = this->entries.at(contact);
-        if (!entry.is_paused && !this->is_cut(agent.member, entry.view.Self()))
-          entry.view.HearHeartbeat(MakeHeartbeat(agent.member, agent.sequence),
-                                   this->now);
+        if (!entry.is_paused &&
+            !this->is_partitioned(agent.member, entry.table.Self()))
+          entry.table.MergeHeartbeat(
+              MakeHeartbeat(agent.member, agent.sequence), this->now);
       }
     }
   }
 
   void Step(Entry* entry, bool is_regular) {
-    entry->view.Tick(this->now);
-    const std::vector<MemberChange> news = entry->view.TakeChanges();
-    auto& log = this->changes[entry->view.Self().name];
-    log.insert(log.end(), news.begin(), news.end());
-    entry->queue.Add(news, entry->view);
+    entry->table.Tick(this->now);
+    const std::vector<MemberChange> changes_now = entry->table.TakeChanges();
+    auto& log = this->changes[entry->table.Self().name];
+    log.insert(log.end(), changes_now.begin(), changes_now.end());
+    entry->queue.Add(changes_now, entry->table);
     if (!is_regular && !entry->queue.HasChanges())
       return;
-    const std::vector<Member> peers = entry->queue.Peers(entry->view);
-    const Round round = entry->queue.NextRound(
-        &entry->view,
+    const std::vector<Member> peers = entry->queue.Peers(entry->table);
+    const GossipRound round = entry->queue.NextRound(
+        &entry->table,
         is_regular ? RoundKind::kRegular : RoundKind::kChangesOnly, this->now);
     for (auto& [name, other] : this->entries) {
       const bool is_peer =
           this->steps < 32 ||
           std::any_of(peers.begin(), peers.end(),
                       [&other = other](const Member& peer) {
-                        return peer.name == other.view.Self().name;
+                        return peer.name == other.table.Self().name;
                       });
       if (&other == entry || other.is_paused || !is_peer ||
-          this->is_cut(entry->view.Self(), other.view.Self()))
+          this->is_partitioned(entry->table.Self(), other.table.Self()))
         continue;
-      const bool is_far = other.view.Self().region != entry->view.Self().region;
+      const bool is_far =
+          other.table.Self().region != entry->table.Self().region;
       for (const Digest& digest :
            is_far && !round.far.empty() ? round.far : round.near)
         this->Deliver(&other, digest);
--- a/membership/testing/view_test.cc
+++ b/membership/testing/member_table_test.cc
@@ -1,4 +1,4 @@
-#include "membership/view.h"
+#include "membership/member_table.h"
 
 #include <gtest/gtest.h>
 
@@ -22,19 +22,19 @@
 }
 
 // Guards against entries that see only the agents that heartbeat to them.
-TEST(View, EveryEntryLearnsEveryMember) {
+TEST(MemberTable, EveryEntryLearnsEveryMember) {
   Fleet fleet = TwoRegions();
   for (const std::string entry : {"erie-1", "erie-2", "huron-1", "huron-2"}) {
-    EXPECT_EQ(fleet.entries.at(entry).view.Members().size(), 12U);
-    EXPECT_EQ(fleet.entries.at(entry).view.EntryContacts().size(), 4U);
+    EXPECT_EQ(fleet.entries.at(entry).table.Members().size(), 12U);
+    EXPECT_EQ(fleet.entries.at(entry).table.EntryContacts().size(), 4U);
     for (const auto& [agent, state] : fleet.agents)
       EXPECT_EQ(fleet.StateAt(entry, agent), MemberState::kAlive);
   }
 }
 
-// Guards against a paused process being given up: its late heartbeat refutes
+// Guards against declaring a paused process dead: its late heartbeat refutes
 // the suspicion at every entry, without a death in between.
-TEST(View, LateHeartbeatRefutesSuspicion) {
+TEST(MemberTable, LateHeartbeatRefutesSuspicion) {
   Fleet fleet = TwoRegions();
   fleet.agents["erie-x"].is_silent = true;
   fleet.Run(9);
@@ -50,7 +50,7 @@
 
 // Guards against a dead member staying in the list, and against a member that
 // was paused for longer than that never coming back.
-TEST(View, SilenceIsDeathUntilRefuted) {
+TEST(MemberTable, SilenceIsDeathUntilRefuted) {
   Fleet fleet = TwoRegions();
   fleet.agents["erie-x"].is_silent = true;
   fleet.Run(20);
@@ -64,9 +64,9 @@
 // Guards against a lossy path killing a member: another entry still hears it
 // and refutes the suspicion. Several members are cut off from one entry each,
 // since a mention in a regular digest may save a single one by chance.
-TEST(View, OtherEntryRefutesSuspicion) {
+TEST(MemberTable, OtherEntryRefutesSuspicion) {
   Fleet fleet = TwoRegions();
-  fleet.is_cut = [](const Member& from, const Member& to) {
+  fleet.is_partitioned = [](const Member& from, const Member& to) {
     return from.role == Role::kAgent && from.name.back() != 'z' &&
            to.name.back() == '1';
   };
@@ -84,23 +84,23 @@
 
 // Guards against leaving the refutation to chance: the entry that holds a later
 // heartbeat answers a suspicion at once.
-TEST(View, SuspicionIsAnsweredWithLaterHeartbeat) {
+TEST(MemberTable, SuspicionIsAnsweredWithLaterHeartbeat) {
   Fleet fleet = TwoRegions();
-  View& view = fleet.entries.at("erie-2").view;
+  MemberTable& table = fleet.entries.at("erie-2").table;
   const Fleet::Agent& agent = fleet.agents["erie-x"];
   Digest digest;
-  digest.sender = fleet.entries.at("erie-1").view.NextSelfBrief();
-  digest.briefs = {MakeBrief(agent.member, agent.sequence - 1)};
-  digest.briefs[0].state = MemberState::kSuspect;
-  const std::vector<Digest> replies = view.HearDigest(digest, fleet.now);
+  digest.sender = fleet.entries.at("erie-1").table.NextSelfSummary();
+  digest.summaries = {MakeSummary(agent.member, agent.sequence - 1)};
+  digest.summaries[0].state = MemberState::kSuspect;
+  const std::vector<Digest> replies = table.MergeDigest(digest, fleet.now);
   ASSERT_EQ(replies.size(), 1U);
-  EXPECT_EQ(replies[0].briefs,
-            std::vector<Brief>{MakeBrief(agent.member, agent.sequence)});
+  EXPECT_EQ(replies[0].summaries, std::vector<MemberSummary>{MakeSummary(
+                                      agent.member, agent.sequence)});
 }
 
 // Guards against an entry that was paused suspecting everybody it did not
 // hear meanwhile.
-TEST(View, OwnPauseCausesNoSuspicion) {
+TEST(MemberTable, OwnPauseCausesNoSuspicion) {
   Fleet fleet = TwoRegions();
   fleet.entries.at("erie-1").is_paused = true;
   fleet.Run(11);
@@ -112,11 +112,11 @@
   }
 }
 
-// Guards against taking a cut between regions for the death of a region, on
-// both sides, and against members staying cut off after it.
-TEST(View, CutRegionIsUnreachableNotDead) {
+// Guards against declaring the members of a partitioned region dead, on either
+// side, and against members staying unreachable after the partition heals.
+TEST(MemberTable, CutRegionIsUnreachableNotDead) {
   Fleet fleet = TwoRegions();
-  fleet.is_cut = [](const Member& from, const Member& to) {
+  fleet.is_partitioned = [](const Member& from, const Member& to) {
     return from.region != to.region;
   };
   fleet.Run(120);
@@ -124,10 +124,10 @@
     EXPECT_EQ(fleet.StateAt("erie-1", member), MemberState::kUnreachable);
   EXPECT_EQ(fleet.StateAt("huron-2", "erie-x"), MemberState::kUnreachable);
   EXPECT_EQ(fleet.StateAt("huron-2", "huron-x"), MemberState::kAlive);
-  fleet.is_cut = [](const Member&, const Member&) { return false; };
+  fleet.is_partitioned = [](const Member&, const Member&) { return false; };
   fleet.Run(6);
   for (const auto& [entry, unused] : fleet.entries) {
-    for (const Member& member : fleet.entries.at(entry).view.Members())
+    for (const Member& member : fleet.entries.at(entry).table.Members())
       EXPECT_EQ(member.state, MemberState::kAlive) << member.name;
     for (const MemberChange& change : fleet.changes[entry])
       EXPECT_NE(change.member.state, MemberState::kDead);
@@ -136,12 +136,12 @@
 
 // Guards against agents that move to other entries, as at their first contact
 // with a seed, being taken for a silent region.
-TEST(View, MovedAgentsAreNotSilent) {
+TEST(MemberTable, MovedAgentsAreNotSilent) {
   Fleet fleet = TwoRegions();
   for (auto& [name, agent] : fleet.agents) {
     Heartbeat last = MakeHeartbeat(agent.member, agent.sequence);
     last.is_last = true;
-    fleet.entries.at(agent.contacts[0]).view.HearHeartbeat(last, fleet.now);
+    fleet.entries.at(agent.contacts[0]).table.MergeHeartbeat(last, fleet.now);
     agent.contacts = {agent.contacts[1]};
   }
   fleet.changes.clear();
@@ -152,14 +152,14 @@
 
 // Guards against two entries that each lack something of the other answering
 // each other without end.
-TEST(View, AnswersEnd) {
+TEST(MemberTable, AnswersEnd) {
   Fleet fleet;
   fleet.AddEntry("e1", "erie");
   fleet.AddEntry("e2", "erie");
-  View& first = fleet.entries.at("e1").view;
-  View& second = fleet.entries.at("e2").view;
+  MemberTable& first = fleet.entries.at("e1").table;
+  MemberTable& second = fleet.entries.at("e2").table;
   Digest hello;
-  hello.sender = first.NextSelfBrief();
+  hello.sender = first.NextSelfSummary();
   int count = 0;
   std::vector<Digest> wave = {hello};
   for (; !wave.empty() && count < 100; ++count) {
@@ -168,8 +168,8 @@
       // Neither side passes its record on, so that both go on lacking it.
       Digest stripped = digest;
       stripped.records.clear();
-      View& to = count % 2 == 0 ? second : first;
-      for (Digest& reply : to.HearDigest(stripped, fleet.now))
+      MemberTable& to = count % 2 == 0 ? second : first;
+      for (Digest& reply : to.MergeDigest(stripped, fleet.now))
         next.push_back(std::move(reply));
     }
     wave = std::move(next);
@@ -179,7 +179,7 @@
 
 // Guards against taking single deaths for a cut: an entry and an agent of the
 // other region die while the rest of it is heard.
-TEST(View, SingleDeathInOtherRegionIsDeath) {
+TEST(MemberTable, SingleDeathInOtherRegionIsDeath) {
   Fleet fleet = TwoRegions();
   fleet.entries.at("huron-1").is_paused = true;
   fleet.agents["huron-x"].is_silent = true;
@@ -191,7 +191,7 @@
 
 // Guards against a restarted process being confused with its predecessor:
 // under the same name, and under another name at the same address.
-TEST(View, RestartReplacesPredecessor) {
+TEST(MemberTable, RestartReplacesPredecessor) {
   Fleet fleet = TwoRegions();
   fleet.agents["erie-x"].member.incarnation = 2;
   fleet.agents["erie-x"].member.services = {"orders"};
@@ -202,7 +202,8 @@
   fleet.agents["erie-y"].is_silent = true;
   fleet.Run(4);
   for (const std::string entry : {"erie-1", "huron-2"}) {
-    const auto full = fleet.entries.at(entry).view.FindFull(HashName("erie-x"));
+    const auto full =
+        fleet.entries.at(entry).table.FindFull(HashName("erie-x"));
     ASSERT_TRUE(full.has_value());
     EXPECT_EQ(full->member.incarnation, 2U);
     EXPECT_EQ(full->member.services, std::vector<std::string>{"orders"});
@@ -210,40 +211,40 @@
     EXPECT_EQ(fleet.StateAt(entry, "erie-y"), MemberState::kLeft);
   }
   // A heartbeat of the predecessor that arrives late changes nothing.
-  View& view = fleet.entries.at("erie-1").view;
+  MemberTable& table = fleet.entries.at("erie-1").table;
   Member old = fleet.agents["erie-x"].member;
   old.incarnation = 1;
   const HeartbeatOutcome outcome =
-      view.HearHeartbeat(MakeHeartbeat(old, 1000), fleet.now);
+      table.MergeHeartbeat(MakeHeartbeat(old, 1000), fleet.now);
   EXPECT_EQ(outcome.higher_incarnation, 2U);
-  EXPECT_EQ(view.FindFull(HashName("erie-x"))->member.incarnation, 2U);
+  EXPECT_EQ(table.FindFull(HashName("erie-x"))->member.incarnation, 2U);
 }
 
 // Guards against an entry that is replaced staying in the list that agents
 // choose from, and against its replacement not learning the fleet.
-TEST(View, ReplacedEntryLearnsTheFleet) {
+TEST(MemberTable, ReplacedEntryLearnsTheFleet) {
   Fleet fleet = TwoRegions();
   fleet.entries.at("erie-2").is_paused = true;
   fleet.AddEntry("erie-3", "erie");
   Digest hello;
-  View& fresh = fleet.entries.at("erie-3").view;
-  hello.sender = fresh.NextSelfBrief();
+  MemberTable& fresh = fleet.entries.at("erie-3").table;
+  hello.sender = fresh.NextSelfSummary();
   hello.records = {*fresh.FindFull(hello.sender.name_hash)};
   fleet.Deliver(&fleet.entries.at("huron-1"), hello);
   fleet.Run(20);
   for (const auto& [agent, unused] : fleet.agents)
     EXPECT_EQ(fleet.StateAt("erie-3", agent), MemberState::kAlive) << agent;
   for (const std::string entry : {"erie-1", "erie-3", "huron-1", "huron-2"})
-    EXPECT_EQ(fleet.entries.at(entry).view.EntryContacts().size(), 4U);
+    EXPECT_EQ(fleet.entries.at(entry).table.EntryContacts().size(), 4U);
 }
 
 // Guards against reordered and repeated datagrams: an old one neither brings
 // back an earlier state nor counts as life.
-TEST(View, ReorderedAndRepeatedHeartbeatsChangeNothing) {
+TEST(MemberTable, ReorderedAndRepeatedHeartbeatsChangeNothing) {
   std::mt19937 random(1);
   for (int trial = 0; trial < 50; ++trial) {
-    View view(MemberChart(), ViewOptions{},
-              MakeMember("entry", Role::kEntry, "erie", 1));
+    MemberTable table(MemberChart(), MemberTableOptions{},
+                      MakeMember("entry", Role::kEntry, "erie", 1));
     Member agent = MakeMember("agent", Role::kAgent, "erie", 2);
     absl::Time now = absl::UnixEpoch();
     std::vector<Heartbeat> sent;
@@ -257,54 +258,54 @@
     received.insert(received.end(), sent.begin(), sent.end());
     std::shuffle(received.begin(), received.end(), random);
     for (const Heartbeat& heartbeat : received)
-      view.HearHeartbeat(heartbeat, now);
-    const auto full = view.FindFull(HashName("agent"));
+      table.MergeHeartbeat(heartbeat, now);
+    const auto full = table.FindFull(HashName("agent"));
     EXPECT_EQ(full->sequence, 8U);
-    EXPECT_EQ(full->member.state, sent.back().brief.state);
+    EXPECT_EQ(full->member.state, sent.back().summary.state);
     EXPECT_EQ(full->member.config_version, 8U);
     // Repetitions alone don't keep the member from being suspected.
     for (int step = 0; step < 40; ++step) {
       now += absl::Milliseconds(250);
-      view.Tick(now);
-      view.HearHeartbeat(sent[step % sent.size()], now);
+      table.Tick(now);
+      table.MergeHeartbeat(sent[step % sent.size()], now);
     }
-    EXPECT_EQ(view.FindFull(HashName("agent"))->member.state,
+    EXPECT_EQ(table.FindFull(HashName("agent"))->member.state,
               MemberState::kSuspect);
   }
 }
 
 // Guards against a leaving member getting work again through an old digest or
 // a heartbeat that was overtaken.
-TEST(View, LeavingIsNeverUndone) {
+TEST(MemberTable, LeavingIsNeverUndone) {
   Fleet fleet = TwoRegions();
   Fleet::Agent& agent = fleet.agents["erie-x"];
   Member earlier = agent.member;
   agent.member.state = MemberState::kLeaving;
-  // No regular digest is awaited: the change is told by itself.
+  // The change is sent at once, without waiting for a regular digest.
   fleet.Run(3);
   for (const auto& [entry, unused] : fleet.entries)
     EXPECT_EQ(fleet.StateAt(entry, "erie-x"), MemberState::kLeaving);
-  // An agent that leaves tells every entry, also those it sends nothing else
-  // to. It may drain for long.
+  // A leaving agent notifies every entry, including those that it does not
+  // heartbeat to. It may drain for long.
   ++agent.sequence;
   for (auto& [name, entry] : fleet.entries)
-    entry.view.HearHeartbeat(MakeHeartbeat(agent.member, agent.sequence),
-                             fleet.now);
+    entry.table.MergeHeartbeat(MakeHeartbeat(agent.member, agent.sequence),
+                               fleet.now);
   fleet.Run(300);
   EXPECT_EQ(fleet.StateAt("huron-1", "erie-x"), MemberState::kLeaving);
   Digest old;
-  old.sender = fleet.entries.at("huron-1").view.NextSelfBrief();
+  old.sender = fleet.entries.at("huron-1").table.NextSelfSummary();
   old.records = {{earlier, 1000}};
   for (const MemberState state :
        {MemberState::kAlive, MemberState::kUpstreamDown, MemberState::kSuspect,
         MemberState::kDead}) {
     earlier.state = state;
-    old.briefs.push_back(MakeBrief(earlier, 2000));
+    old.summaries.push_back(MakeSummary(earlier, 2000));
   }
-  View& view = fleet.entries.at("erie-1").view;
-  view.HearDigest(old, fleet.now);
+  MemberTable& table = fleet.entries.at("erie-1").table;
+  table.MergeDigest(old, fleet.now);
   earlier.state = MemberState::kAlive;
-  view.HearHeartbeat(MakeHeartbeat(earlier, 3000), fleet.now);
+  table.MergeHeartbeat(MakeHeartbeat(earlier, 3000), fleet.now);
   EXPECT_EQ(fleet.StateAt("erie-1", "erie-x"), MemberState::kLeaving);
   // It has left when it falls silent.
   agent.is_silent = true;
@@ -313,25 +314,25 @@
 }
 
 // Guards against a table that grows with every name ever announced.
-TEST(View, TableIsBounded) {
-  ViewOptions options;
+TEST(MemberTable, TableIsBounded) {
+  MemberTableOptions options;
   options.max_members = 10;
-  View view(MemberChart(), options,
-            MakeMember("entry", Role::kEntry, "erie", 1));
+  MemberTable table(MemberChart(), options,
+                    MakeMember("entry", Role::kEntry, "erie", 1));
   for (uint16_t i = 0; i < 15; ++i) {
     Member agent = MakeMember(StrCat("agent-", i), Role::kAgent, "erie",
                               static_cast<uint16_t>(100 + i));
     // The first three have left and make room.
     agent.state = i < 3 ? MemberState::kLeft : MemberState::kAlive;
-    view.HearHeartbeat(MakeHeartbeat(agent, 1), absl::UnixEpoch());
+    table.MergeHeartbeat(MakeHeartbeat(agent, 1), absl::UnixEpoch());
   }
-  EXPECT_EQ(view.Records().size(), 10U);
-  EXPECT_EQ(view.RefusedMembers(), 2U);
+  EXPECT_EQ(table.Records().size(), 10U);
+  EXPECT_EQ(table.RefusedMembers(), 2U);
 }
 
 // Guards against a member that no entry vouches for any more staying alive
 // for ever at the entries that know it from digests.
-TEST(View, MemberWithoutWitnessExpires) {
+TEST(MemberTable, MemberWithoutWitnessExpires) {
   Fleet fleet = TwoRegions();
   fleet.agents["erie-x"].is_silent = true;
   fleet.entries.at("erie-1").is_paused = true;
@@ -345,7 +346,7 @@
 }
 
 // Guards the baseline of the bench against losing members between regions.
-TEST(View, NeighbourhoodsRelayBetweenRegions) {
+TEST(MemberTable, NeighbourhoodsRelayBetweenRegions) {
   Fleet fleet = TwoRegions(Topology::kNeighbourhoods);
   fleet.agents["erie-x"].member.state = MemberState::kLeaving;
   fleet.agents["erie-y"].is_silent = true;
--- a/membership/testing/message_test.cc
+++ b/membership/testing/message_test.cc
@@ -14,12 +14,12 @@
   acknowledgement.entries = {
       {"entry-1", "10.0.0.2", 7000, 7100, "erie-a", "erie"}};
   Digest digest;
-  digest.sender = MakeBrief(agent, 4);
-  digest.briefs = {MakeBrief(agent, 12)};
+  digest.sender = MakeSummary(agent, 4);
+  digest.summaries = {MakeSummary(agent, 12)};
   digest.records = {{agent, 12}};
-  digest.wanted = {HashName("runner-4")};
+  digest.requested = {HashName("runner-4")};
   return {MakeHeartbeat(agent, 77),
-          Heartbeat{MakeBrief(agent, 77), 5, true, {}}, acknowledgement,
+          Heartbeat{MakeSummary(agent, 77), 5, true, {}}, acknowledgement,
           digest};
 }
 
@@ -37,7 +37,7 @@
                             "erie", 7001, 1'770'000'000'000);
   agent.config_version = 1'000'000;
   const Heartbeat heartbeat{
-      MakeBrief(agent, 40'000'000), 0xffffffff, false, {}};
+      MakeSummary(agent, 40'000'000), 0xffffffff, false, {}};
   EXPECT_LE(EncodeMessage(heartbeat).size(), 40U);
 }
 
@@ -64,9 +64,9 @@
 TEST(Datagram, ImplausibleContentIsMalformed) {
   const Member agent = MakeMember("runner-3", Role::kAgent, "erie", 7001, 5);
   Heartbeat judged = MakeHeartbeat(agent, 1);
-  judged.brief.state = MemberState::kDead;
+  judged.summary.state = MemberState::kDead;
   Heartbeat misnamed = MakeHeartbeat(agent, 1);
-  misnamed.brief.name_hash = 1;
+  misnamed.summary.name_hash = 1;
   Heartbeat out_of_range = MakeHeartbeat(agent, 1);
   out_of_range.announcement->state = static_cast<MemberState>(7);
   for (const Heartbeat& heartbeat : {judged, misnamed, out_of_range}) {
--- a/membership/testing/udp_test.cc
+++ b/membership/testing/udp_test.cc
@@ -42,9 +42,9 @@
     options.self = LocalMember(name, Role::kEntry);
     options.seeds = this->seeds;
     options.digest_interval_ms = 100;
-    options.view.tick_interval_ms = 20;
+    options.table.tick_interval_ms = 20;
     // No test here relies on suspicion, so a slow machine causes none.
-    options.view.suspect_after_ms = 3'600'000;
+    options.table.suspect_after_ms = 3'600'000;
     auto& entry = this->entries[name];
     entry = std::make_unique<EntryGossip>(&this->thread, MemberChart(), options,
                                           std::vector<EntryListener>{},
@@ -87,7 +87,7 @@
     return MemberState::kDead;
   }
 
-  bool AllSee(const std::string& member, MemberState state) {
+  bool AllEntriesReport(const std::string& member, MemberState state) {
     return std::all_of(this->entries.begin(), this->entries.end(),
                        [&](const auto& entry) {
                          return this->StateAt(entry.first, member) == state;
@@ -109,16 +109,18 @@
     this->AddEntry(name);
   AgentHeartbeat& agent =
       this->AddAgent("runner", LocalMember("", Role::kAgent));
-  this->Await([&] { return this->AllSee("runner", MemberState::kAlive); });
+  this->Await(
+      [&] { return this->AllEntriesReport("runner", MemberState::kAlive); });
   EXPECT_EQ(this->thread.Call([&] { return agent.Contacts().size(); }), 2U);
   this->thread.Post([&] { agent.SetUpstreamDown(true); });
-  this->Await(
-      [&] { return this->AllSee("runner", MemberState::kUpstreamDown); });
+  this->Await([&] {
+    return this->AllEntriesReport("runner", MemberState::kUpstreamDown);
+  });
   bool is_acknowledged = false;
   this->thread.Post([&] { agent.Leave([&] { is_acknowledged = true; }); });
   this->Await([&] { return is_acknowledged; });
   EXPECT_TRUE(this->thread.Call(
-      [&] { return this->AllSee("runner", MemberState::kLeaving); }));
+      [&] { return this->AllEntriesReport("runner", MemberState::kLeaving); }));
 }
 
 // Guards against an agent that stays with an entry that does not answer.
@@ -128,7 +130,7 @@
   AgentHeartbeat& agent =
       this->AddAgent("runner", LocalMember("", Role::kAgent));
   this->Await([&] {
-    return this->AllSee("runner", MemberState::kAlive) &&
+    return this->AllEntriesReport("runner", MemberState::kAlive) &&
            agent.Contacts().size() == 2 && !agent.Contacts()[0].name.empty();
   });
   const std::string victim =
@@ -147,7 +149,8 @@
   EntryGossip& entry = this->AddEntry("e1");
   AgentHeartbeat& agent =
       this->AddAgent("runner", LocalMember("", Role::kAgent));
-  this->Await([&] { return this->AllSee("runner", MemberState::kAlive); });
+  this->Await(
+      [&] { return this->AllEntriesReport("runner", MemberState::kAlive); });
   this->thread.Post([&] { entry.SetConfigVersion(7); });
   this->Await([&] { return this->announced_version == 7; });
   // An agent that starts later has it from its first acknowledgement.
@@ -171,7 +174,8 @@
   Member self = LocalMember("", Role::kAgent);
   self.incarnation = 1000;
   AgentHeartbeat& first = this->AddAgent("runner", self);
-  this->Await([&] { return this->AllSee("runner", MemberState::kAlive); });
+  this->Await(
+      [&] { return this->AllEntriesReport("runner", MemberState::kAlive); });
   self.port = this->thread.Call([&] {
     first.Close();
     return first.Self().port;
@@ -179,8 +183,8 @@
   self.incarnation = 10;
   this->AddAgent("runner-b", self);
   this->Await([&] {
-    return this->AllSee("runner-b", MemberState::kAlive) &&
-           this->AllSee("runner", MemberState::kLeft);
+    return this->AllEntriesReport("runner-b", MemberState::kAlive) &&
+           this->AllEntriesReport("runner", MemberState::kLeft);
   });
   EXPECT_EQ(
       this->thread.Call([&] { return this->agents[1]->Self().incarnation; }),
@@ -212,7 +216,8 @@
            dropped("reason=\"checksum\"") == 1;
   });
   this->AddAgent("runner", LocalMember("", Role::kAgent));
-  this->Await([&] { return this->AllSee("runner", MemberState::kAlive); });
+  this->Await(
+      [&] { return this->AllEntriesReport("runner", MemberState::kAlive); });
   this->thread.Call([&] { socket.Close(); });
 }
 
@@ -233,9 +238,9 @@
                                          const UdpAddress& from) {
         const auto& heartbeat = std::get<Heartbeat>(message);
         ++datagrams;
-        sequence = std::max(sequence, heartbeat.brief.sequence);
+        sequence = std::max(sequence, heartbeat.summary.sequence);
         Acknowledgement reply;
-        reply.sequence = heartbeat.brief.sequence;
+        reply.sequence = heartbeat.summary.sequence;
         // Each stand-in names all entries but itself.
         reply.entries = contacts;
         reply.entries->erase(reply.entries->begin() +
--- a/membership/udp_socket.cc
+++ b/membership/udp_socket.cc
@@ -12,8 +12,8 @@
 
 using boost::asio::ip::udp;
 
-// Datagrams read before other events of the thread get their turn.
-constexpr int kMaxReads = 64;
+// Datagrams read per event, so that other events of the thread are not delayed.
+constexpr int kMaxReadsPerEvent = 64;
 
 // Parsed addresses kept; a fleet has far fewer.
 constexpr size_t kMaxEndpoints = 8192;
@@ -78,7 +78,7 @@
     this->unsent.Add();
     return;
   }
-  this->sent_bytes.Add(bytes.size() + kHeaderBytesOnWire);
+  this->sent_bytes.Add(bytes.size() + kIpUdpHeaderBytes);
 }
 
 void UdpSocket::Receive() {
@@ -86,28 +86,28 @@
                           [this](const boost::system::error_code& error) {
                             if (error)
                               return;
-                            this->ReadAll();
+                            this->ReadPending();
                             if (this->socket.is_open())
                               this->Receive();
                           });
 }
 
-void UdpSocket::ReadAll() {
-  for (int i = 0; i < kMaxReads && this->socket.is_open(); ++i) {
+void UdpSocket::ReadPending() {
+  for (int i = 0; i < kMaxReadsPerEvent && this->socket.is_open(); ++i) {
     boost::system::error_code error;
     const size_t size = this->socket.receive_from(
         boost::asio::buffer(this->buffer), this->from, 0, error);
     if (error == boost::asio::error::would_block)
       return;
-    // Other errors tell of datagrams that a peer refused; they concern no
-    // datagram that was received.
+    // Other errors report that a peer refused an earlier datagram (ICMP); no
+    // received datagram is affected.
     if (!error)
-      this->Take(size);
+      this->HandleDatagram(size);
   }
 }
 
-void UdpSocket::Take(size_t size) {
-  this->received_bytes.Add(size + kHeaderBytesOnWire);
+void UdpSocket::HandleDatagram(size_t size) {
+  this->received_bytes.Add(size + kIpUdpHeaderBytes);
   Result<Datagram> message =
       ParseMessage(std::string_view(this->buffer.data(), size));
   if (!message) {
--- a/membership/udp_socket.h
+++ b/membership/udp_socket.h
@@ -31,7 +31,7 @@
 namespace cuminjunction {
 
 // Bytes of the IPv4 and UDP headers of a datagram.
-inline constexpr size_t kHeaderBytesOnWire = 28;
+inline constexpr size_t kIpUdpHeaderBytes = 28;
 
 class UdpSocket {
  public:
@@ -56,8 +56,8 @@
   using Endpoint = boost::asio::ip::udp::endpoint;
 
   void Receive();
-  void ReadAll();
-  void Take(size_t size);
+  void ReadPending();
+  void HandleDatagram(size_t size);
   const Endpoint* Resolve(const UdpAddress& address);
 
   boost::asio::ip::udp::socket socket;
