--- a/bench/config_operators.cc
+++ b/bench/config_operators.cc
@@ -92,7 +92,7 @@
     this->table.SetNow(this->now);
     ConfigStore<FaultyTable> store(&this->table);
     Change other;
-    const Result<uint64_t> version = store.Settle(submission, &other);
+    const Result<uint64_t> version = store.ResolveOutcome(submission, &other);
     this->NoteHead();
     if (!version && version.error() != ConfigError::kConflict) {
       this->open.push_back(std::move(submission));
--- a/config/change_log.cc
+++ b/config/change_log.cc
@@ -15,7 +15,7 @@
 constexpr char kReplyLost[] = "reply_lost";
 constexpr char kDistributed[] = "distributed";
 
-const char* EventOf(const Result<uint64_t>& outcome) {
+const char* EventForOutcome(const Result<uint64_t>& outcome) {
   if (outcome)
     return kCommitted;
   if (outcome.error() == ConfigError::kConflict)
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TrackedChange* ChangeLog::Get(const std::string& change_id) {
+TrackedChange* ChangeLog::FindMutable(const std::string& change_id) {
   for (TrackedChange& change : this->changes) {
     if (change.change_id == change_id)
       return &change;
@@ -43,18 +43,18 @@
   return nullptr;
 }
 
-Status ChangeLog::Step(TrackedChange* change, const std::string& event) {
+Status ChangeLog::ApplyEvent(TrackedChange* change, const std::string& event) {
   BOOST_OUTCOME_TRY(next, this->chart.Next(change->state, event));
   change->state = next;
   return Ok();
 }
 
 void ChangeLog::Submit(const std::string& change_id) {
-  TrackedChange* known = this->Get(change_id);
-  if (known != nullptr && !this->chart.IsFinal(known->state))
+  TrackedChange* tracked = this->FindMutable(change_id);
+  if (tracked != nullptr && !this->chart.IsFinal(tracked->state))
     return;
-  if (known != nullptr) {
-    *known = {change_id, this->chart.initial, 0};
+  if (tracked != nullptr) {
+    *tracked = {change_id, this->chart.initial, 0};
     return;
   }
   this->changes.push_back({change_id, this->chart.initial, 0});
@@ -63,36 +63,37 @@
 }
 
 Status ChangeLog::OnCheck(const std::string& change_id, bool passed) {
-  TrackedChange* change = this->Get(change_id);
-  // A change that is submitted again while its outcome is open, or after it was
-  // accepted, was checked before it was sent.
+  TrackedChange* change = this->FindMutable(change_id);
+  // A change that is submitted again while its outcome is unknown, or after it
+  // was accepted, already passed the check before its first commit.
   if (change == nullptr || change->state != this->chart.initial)
     return Ok();
-  return this->Step(change, passed ? kCheckPassed : kCheckFailed);
+  return this->ApplyEvent(change, passed ? kCheckPassed : kCheckFailed);
 }
 
 Status ChangeLog::OnCommit(const std::string& change_id,
                            const Result<uint64_t>& outcome) {
-  TrackedChange* change = this->Get(change_id);
+  TrackedChange* change = this->FindMutable(change_id);
   if (change == nullptr || change->version != 0)
     return Ok();
-  const std::string event = EventOf(outcome);
-  const bool is_open = change->state == "open";
-  // Neither another lost reply nor an outage settles what was sent before.
-  if (is_open && (event == kReplyLost || event == kStoreUnavailable))
+  const std::string event = EventForOutcome(outcome);
+  const bool is_outcome_unknown = change->state == "open";
+  // Neither another lost reply nor an outage determines the outcome of the
+  // earlier commit.
+  if (is_outcome_unknown && (event == kReplyLost || event == kStoreUnavailable))
     return Ok();
-  BOOST_OUTCOME_TRYV(this->Step(change, event));
+  BOOST_OUTCOME_TRYV(this->ApplyEvent(change, event));
   if (outcome)
     change->version = outcome.value();
   return Ok();
 }
 
-void ChangeLog::OnLeastVersion(uint64_t version) {
+void ChangeLog::OnMinimumVersion(uint64_t version) {
   for (TrackedChange& change : this->changes) {
     if (change.version == 0 || change.version > version ||
         this->chart.IsFinal(change.state))
       continue;
-    (void)this->Step(&change, kDistributed);
+    (void)this->ApplyEvent(&change, kDistributed);
   }
 }
 
--- a/config/change_log.h
+++ b/config/change_log.h
@@ -1,17 +1,17 @@
 #ifndef CONFIG_CHANGE_LOG_H_
 #define CONFIG_CHANGE_LOG_H_
 
-// The state of the changes that were submitted at this entry, by the chart
-// charts/config.yaml.
+// Tracks the state of the changes that were submitted at this entry. The state
+// machine is the chart charts/config.yaml.
 //
 //   ChangeLog log(chart);
 //   log.Submit("c1");
 //   log.OnCheck("c1", document.has_value());
-//   log.OnCommit("c1", store.Accept(...));    // and again after Settle()
-//   log.OnLeastVersion(least_version_of_all_ready_nodes);
+//   log.OnCommit("c1", store.Accept(...));    // and again after
+//   ResolveOutcome() log.OnMinimumVersion(lowest_version_of_all_ready_nodes);
 //   log.Find("c1")->state;                    // "in_force"
 //
-// Every step is one that the chart has; others fail with ChartError.
+// A transition that the chart does not define fails with ChartError.
 
 #include <cstdint>
 #include <deque>
@@ -22,14 +22,14 @@
 
 namespace cuminjunction {
 
-// Changes that are remembered.
+// Maximum number of tracked changes; the oldest one is dropped first.
 inline constexpr size_t kMaxTrackedChanges = 200;
 
 struct TrackedChange {
   std::string change_id;
-  // State of the chart.
+  // Name of the current state in the chart.
   std::string state;
-  // Its version once it is accepted.
+  // The configuration version of the change; 0 until it is accepted.
   uint64_t version = 0;
 
   bool operator==(const TrackedChange&) const = default;
@@ -40,30 +40,31 @@
  public:
   explicit ChangeLog(Chart chart) : chart(std::move(chart)) {}
 
-  // Begins to track a change. A change that is submitted again while its
-  // outcome is open stays as it is; one that ended begins anew.
+  // Starts tracking a change. A change that is submitted again keeps its state
+  // unless that state is final; then it restarts in the initial state.
   void Submit(const std::string& change_id);
 
-  // The document was checked.
+  // Records the result of checking the document.
   Status OnCheck(const std::string& change_id, bool passed);
 
-  // ConfigStore::Accept or Settle returned. An outcome that is still open is no
-  // step for a change that is open already.
+  // Records the result of ConfigStore::Accept or ResolveOutcome. An unknown
+  // outcome or an outage does not change the state of a change whose outcome is
+  // already unknown.
   Status OnCommit(const std::string& change_id,
                   const Result<uint64_t>& outcome);
 
-  // All ready nodes have at least this version.
-  void OnLeastVersion(uint64_t version);
+  // Records that all ready nodes have at least this version.
+  void OnMinimumVersion(uint64_t version);
 
-  // nullptr when the change is not known, or no longer.
+  // Returns nullptr when the change was never tracked or has been dropped.
   const TrackedChange* Find(const std::string& change_id) const;
 
-  // Oldest first.
+  // The tracked changes, oldest first.
   const std::deque<TrackedChange>& Changes() const { return this->changes; }
 
  private:
-  TrackedChange* Get(const std::string& change_id);
-  Status Step(TrackedChange* change, const std::string& event);
+  TrackedChange* FindMutable(const std::string& change_id);
+  Status ApplyEvent(TrackedChange* change, const std::string& event);
 
   Chart chart;
   std::deque<TrackedChange> changes;
--- a/config/check.cc
+++ b/config/check.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-// The names that others can depend on, each with its dependencies.
+// Maps each service and job name to the names it depends on.
 using Graph = std::map<std::string, std::vector<std::string>>;
 
-// More problems than these help nobody, and a hint is a search among all names,
-// which must not be made for each of thousands.
+// Limits the cost of hints: each one searches all names, which is too expensive
+// for thousands of problems. A longer list would not help the operator either.
 constexpr size_t kMaxProblems = 100;
 
 std::string Describe(const Size& size) {
@@ -47,13 +47,13 @@
   }
 
  private:
-  bool IsFull() const { return this->problems->size() >= kMaxProblems; }
+  bool HasMaxProblems() const { return this->problems->size() >= kMaxProblems; }
 
-  void Problem(ConfigError error,
-               const std::string& section,
-               const std::string& key,
-               const std::string& hint) {
-    if (this->IsFull())
+  void AddProblem(ConfigError error,
+                  const std::string& section,
+                  const std::string& key,
+                  const std::string& hint) {
+    if (this->HasMaxProblems())
       return;
     int line = 0;
     const auto found = this->lines.find(section);
@@ -67,8 +67,8 @@
                          this->document.services.size() +
                          this->document.jobs.size();
     if (count > kMaxSections) {
-      this->Problem(ConfigError::kTooManySections, "", "",
-                    StrCat("at most ", kMaxSections));
+      this->AddProblem(ConfigError::kTooManySections, "", "",
+                       StrCat("at most ", kMaxSections));
     }
   }
 
@@ -79,25 +79,25 @@
     for (const Size& worker : this->fleet)
       total = total + worker;
     if (!Fits(account.quota, total)) {
-      this->Problem(ConfigError::kQuotaAboveFleet, "account/" + account.name,
-                    "quota", StrCat("the fleet has ", Describe(total)));
+      this->AddProblem(ConfigError::kQuotaAboveFleet, "account/" + account.name,
+                       "quota", StrCat("the fleet has ", Describe(total)));
     }
   }
 
   void CheckAccount(const std::string& section, const std::string& account) {
     if (account.empty() || this->document.accounts.contains(account) ||
-        this->IsFull())
+        this->HasMaxProblems())
       return;
     std::set<std::string> names;
     for (const auto& [name, value] : this->document.accounts)
       names.insert(name);
-    this->Problem(ConfigError::kUnknownAccount, section, "account",
-                  this->Suggest(account, names));
+    this->AddProblem(ConfigError::kUnknownAccount, section, "account",
+                     this->Suggest(account, names));
   }
 
   std::string Suggest(const std::string& name,
                       const std::set<std::string>& names) const {
-    if (this->IsFull())
+    if (this->HasMaxProblems())
       return "";
     const std::string nearest = NearestWord(name, names);
     if (nearest.empty())
@@ -109,22 +109,24 @@
                  const std::string& account,
                  const Size& size) {
     if (size.millicores <= 0 || size.memory_mib <= 0) {
-      this->Problem(ConfigError::kMissingSize, section, "size",
-                    "size: {cores, memory_gib, accelerators}");
+      this->AddProblem(ConfigError::kMissingSize, section, "size",
+                       "size: {cores, memory_gib, accelerators}");
       return;
     }
-    const auto holds = [&](const Size& worker) { return Fits(size, worker); };
+    const auto fits_worker = [&](const Size& worker) {
+      return Fits(size, worker);
+    };
     if (!this->fleet.empty() &&
-        std::none_of(this->fleet.begin(), this->fleet.end(), holds)) {
-      this->Problem(ConfigError::kSizeAboveWorkers, section, "size",
-                    StrCat("it needs ", Describe(size)));
+        std::none_of(this->fleet.begin(), this->fleet.end(), fits_worker)) {
+      this->AddProblem(ConfigError::kSizeAboveWorkers, section, "size",
+                       StrCat("it needs ", Describe(size)));
     }
     const auto found = this->document.accounts.find(account);
     if (found != this->document.accounts.end() &&
         !Fits(size, found->second.quota)) {
-      this->Problem(ConfigError::kSizeAboveQuota, section, "size",
-                    StrCat("the quota of ", account, " is ",
-                           Describe(found->second.quota)));
+      this->AddProblem(ConfigError::kSizeAboveQuota, section, "size",
+                       StrCat("the quota of ", account, " is ",
+                              Describe(found->second.quota)));
     }
   }
 
@@ -140,8 +142,9 @@
     this->CheckAccount(section, job.account);
     this->CheckSize(section, job.account, job.size);
     if (this->document.services.contains(job.name)) {
-      this->Problem(ConfigError::kDuplicateName, section, "name",
-                    "a service has this name; dependencies could mean either");
+      this->AddProblem(
+          ConfigError::kDuplicateName, section, "name",
+          "a service has this name; dependencies could mean either");
     }
   }
 
@@ -149,7 +152,7 @@
     return (this->document.jobs.contains(name) ? "job/" : "service/") + name;
   }
 
-  Graph MakeGraph() const {
+  Graph MakeDependencyGraph() const {
     Graph graph;
     for (const auto& [name, service] : this->document.services)
       graph[name] = service.depends_on;
@@ -159,15 +162,16 @@
   }
 
   void CheckDependencies() {
-    Graph graph = this->MakeGraph();
+    Graph graph = this->MakeDependencyGraph();
     std::set<std::string> names;
     for (const auto& [name, dependencies] : graph)
       names.insert(name);
     for (auto& [name, dependencies] : graph) {
       for (const std::string& dependency : dependencies) {
         if (!names.contains(dependency)) {
-          this->Problem(ConfigError::kUnknownDependency, this->SectionOf(name),
-                        "depends_on", this->Suggest(dependency, names));
+          this->AddProblem(ConfigError::kUnknownDependency,
+                           this->SectionOf(name), "depends_on",
+                           this->Suggest(dependency, names));
         }
       }
       std::erase_if(dependencies, [&](const std::string& dependency) {
@@ -177,67 +181,69 @@
     this->ReportCycles(std::move(graph));
   }
 
-  // Removes what does not lie on or behind a cycle, names a cycle in the rest,
-  // removes it too and goes on until nothing is left.
+  // Removes the names that neither lie on a cycle nor depend on one, reports
+  // one cycle among the rest, removes it and repeats until the graph is empty.
   void ReportCycles(Graph graph) {
-    RemoveFree(&graph);
-    while (!graph.empty() && !this->IsFull()) {
+    RemoveResolved(&graph);
+    while (!graph.empty() && !this->HasMaxProblems()) {
       const std::vector<std::string> cycle = FindCycle(graph);
-      this->Problem(ConfigError::kDependencyCycle,
-                    this->SectionOf(cycle.front()), "depends_on",
-                    StrCat(StrJoin(cycle, " -> "), " -> ", cycle.front()));
+      this->AddProblem(ConfigError::kDependencyCycle,
+                       this->SectionOf(cycle.front()), "depends_on",
+                       StrCat(StrJoin(cycle, " -> "), " -> ", cycle.front()));
       for (const std::string& name : cycle)
         graph.erase(name);
-      RemoveFree(&graph);
+      RemoveResolved(&graph);
     }
   }
 
-  // Removes the names whose dependencies are all gone, in linear time.
-  static void RemoveFree(Graph* graph) {
-    std::map<std::string, size_t> left;
+  // Repeatedly removes names without remaining dependencies, in linear time
+  // (Kahn's algorithm).
+  static void RemoveResolved(Graph* graph) {
+    std::map<std::string, size_t> unresolved_count;
     std::map<std::string, std::vector<std::string>> dependents;
-    std::deque<std::string> free;
+    std::deque<std::string> resolved;
     for (const auto& [name, dependencies] : *graph) {
       for (const std::string& dependency : dependencies) {
         if (!graph->contains(dependency))
           continue;
-        ++left[name];
+        ++unresolved_count[name];
         dependents[dependency].push_back(name);
       }
-      if (left[name] == 0)
-        free.push_back(name);
+      if (unresolved_count[name] == 0)
+        resolved.push_back(name);
     }
-    while (!free.empty()) {
-      const std::string name = free.front();
-      free.pop_front();
+    while (!resolved.empty()) {
+      const std::string name = resolved.front();
+      resolved.pop_front();
       graph->erase(name);
       for (const std::string& dependent : dependents[name]) {
-        if (--left[dependent] == 0)
-          free.push_back(dependent);
+        if (--unresolved_count[dependent] == 0)
+          resolved.push_back(dependent);
       }
     }
   }
 
-  // Every name of the graph has a dependency in it, so a walk along the first
-  // one comes back to a name it has seen.
+  // Returns one cycle. Every name has a dependency in the graph, so a walk that
+  // follows the first dependency of each name eventually repeats a name.
   static std::vector<std::string> FindCycle(const Graph& graph) {
-    std::vector<std::string> path;
+    std::vector<std::string> walk;
     std::map<std::string, size_t> position;
     std::string name = graph.begin()->first;
     while (!position.contains(name)) {
-      position[name] = path.size();
-      path.push_back(name);
+      position[name] = walk.size();
+      walk.push_back(name);
       const std::vector<std::string>& dependencies = graph.at(name);
       name = *std::find_if(
           dependencies.begin(), dependencies.end(),
           [&](const std::string& other) { return graph.contains(other); });
     }
-    path.erase(path.begin(),
-               path.begin() + static_cast<std::ptrdiff_t>(position[name]));
-    // A cycle is named from its first name on, whatever the walk began with.
-    std::rotate(path.begin(), std::min_element(path.begin(), path.end()),
-                path.end());
-    return path;
+    walk.erase(walk.begin(),
+               walk.begin() + static_cast<std::ptrdiff_t>(position[name]));
+    // The report starts at the lexicographically smallest name, so it does not
+    // depend on where the walk began.
+    std::rotate(walk.begin(), std::min_element(walk.begin(), walk.end()),
+                walk.end());
+    return walk;
   }
 
   const Document& document;
--- a/config/check.h
+++ b/config/check.h
@@ -1,7 +1,8 @@
 #ifndef CONFIG_CHECK_H_
 #define CONFIG_CHECK_H_
 
-// Checks of a document as a whole, after each section was read by itself.
+// Checks that span the sections of a document. They run after each section was
+// parsed and checked by itself.
 
 #include <string>
 #include <vector>
@@ -12,9 +13,9 @@
 namespace cuminjunction {
 
 // Records every inconsistency: missing accounts and dependencies, cycles,
-// quotas above the fleet, sizes that no worker or no quota can hold. `lines`
-// tells where a section is; without an entry the line is 0. The checks against
-// the fleet are left out when it is empty.
+// quotas above the fleet, sizes that exceed every worker or the account's
+// quota. `lines` maps sections to their lines; a problem in a section without
+// an entry has line 0. An empty `fleet` skips the checks against it.
 void CheckDocument(const Document& document,
                    const Fleet& fleet,
                    const SectionLines& lines,
--- a/config/document.h
+++ b/config/document.h
@@ -1,11 +1,11 @@
 #ifndef CONFIG_DOCUMENT_H_
 #define CONFIG_DOCUMENT_H_
 
-// The operator's configuration document as values.
+// Value types of the operator's configuration document.
 //
-// A document lists client accounts, services and jobs. It is read and checked
-// by ParseDocument() in config/parse.h; a Document that came from there is
-// consistent: every name it refers to exists and dependencies have no cycle.
+// A document lists client accounts, services and jobs. ParseDocument() in
+// config/parse.h reads and checks it; a Document that it returns is consistent:
+// every name it refers to exists and dependencies have no cycle.
 
 #include <compare>
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace cuminjunction {
 
-// How urgent work is. Smaller values are more urgent.
+// Scheduling urgency. Smaller values are more urgent.
 enum class Urgency : uint8_t { kUrgent = 0, kNormal = 1, kBatch = 2 };
 
 inline constexpr int kUrgencyCount = 3;
@@ -54,12 +54,12 @@
           a.accelerators - b.accelerators};
 }
 
-// A client account with its share of the fleet.
+// A client account with its weight and quota.
 struct Account {
   std::string name;
   // Relative share under contention, for requests and for tasks.
   int64_t weight = 1;
-  // The most its tasks may have committed at a time.
+  // Upper bound on the resources committed to its tasks at any time.
   Size quota;
 
   bool operator==(const Account&) const = default;
@@ -75,12 +75,12 @@
   int64_t replicas = 0;
   // Size of a replica; unused when replicas is 0.
   Size size;
-  // Deadline of a request that names none, in milliseconds after its arrival.
+  // Default deadline of a request, in milliseconds after its arrival.
   int64_t timeout_ms = 1000;
   Urgency urgency = Urgency::kNormal;
-  // The latency that the service's tail should keep, in milliseconds.
+  // Target of the service's tail latency, in milliseconds.
   int64_t tail_target_ms = 0;
-  // HTTP methods whose requests may run more than once.
+  // HTTP methods whose requests may be executed more than once.
   std::vector<std::string> idempotent_methods;
   // Jobs and services that must be finished or running first.
   std::vector<std::string> depends_on;
@@ -100,7 +100,7 @@
   std::vector<std::string> depends_on;
   // Number of tasks.
   int64_t count = 1;
-  // What a worker runs, passed on to its runtime.
+  // The command that a worker passes to its runtime.
   std::string command;
 
   bool operator==(const Job&) const = default;
--- a/config/error.h
+++ b/config/error.h
@@ -32,13 +32,14 @@
   kConflict,
   // The store could not be reached; the change has no effect.
   kUnavailable,
-  // The change may be accepted or may still be; its change id tells later.
+  // The change may have been accepted or may still be. ResolveOutcome()
+  // determines this later by the change id.
   kUnknownOutcome,
   // The store's rows can't be read.
   kDamagedRow,
-  // A message or a delta does not lead to the state it names.
+  // A message is malformed, or applying a delta does not yield its digest.
   kDamagedDelta,
-  // A delta starts above the version held here.
+  // A delta starts above the local version.
   kMissingBase,
 };
 
--- a/config/parse.cc
+++ b/config/parse.cc
@@ -56,7 +56,7 @@
 
 Urgency ReadUrgency(YamlMap* map, Urgency fallback) {
   if (!map->Has("urgency")) {
-    // Tells the map that the key is known.
+    // Marks the key as known, so that YamlMap does not report it.
     map->String("urgency", "");
     return fallback;
   }
@@ -143,7 +143,7 @@
   return job;
 }
 
-// The lines of the keys that checks report on.
+// Returns the lines of the keys that CheckDocument() reports problems for.
 std::map<std::string, int> LinesOf(const YamlMap& map) {
   std::map<std::string, int> lines = {{"", map.Line()}};
   for (const char* key :
@@ -152,16 +152,16 @@
   return lines;
 }
 
-// Reads the list below `key` into `out`, by name.
+// Parses the list at `key` into `out`, keyed by name.
 template <class T, class F>
 void ReadList(YamlMap* root,
               const std::string& key,
               const std::string& prefix,
-              F read,
+              F read_section,
               std::map<std::string, T>* out,
               SectionLines* lines) {
   for (YamlMap& map : root->Maps(key)) {
-    T value = read(&map);
+    T value = read_section(&map);
     const std::string name = value.name;
     const std::string section = prefix + name;
     if (name.empty())
@@ -180,15 +180,15 @@
 Result<T> ParseSection(const std::string& text,
                        const std::string& file,
                        std::vector<YamlProblem>* problems,
-                       F read) {
-  const size_t before = problems->size();
+                       F read_section) {
+  const size_t initial_problem_count = problems->size();
   if (!CheckYamlLimits(text, file, problems))
-    return (*problems)[before].code;
+    return (*problems)[initial_problem_count].code;
   BOOST_OUTCOME_TRY(node, ParseYaml(text, file, problems));
   YamlMap map(node, file, problems);
-  T value = read(&map);
-  if (problems->size() > before)
-    return (*problems)[before].code;
+  T value = read_section(&map);
+  if (problems->size() > initial_problem_count)
+    return (*problems)[initial_problem_count].code;
   return value;
 }
 
@@ -198,15 +198,15 @@
                                const std::string& file,
                                const Fleet& fleet,
                                std::vector<YamlProblem>* problems) {
-  const size_t before = problems->size();
+  const size_t initial_problem_count = problems->size();
   if (!CheckYamlLimits(text, file, problems))
-    return (*problems)[before].code;
+    return (*problems)[initial_problem_count].code;
   BOOST_OUTCOME_TRY(node, ParseYaml(text, file, problems));
   YamlMap root(node, file, problems);
   Document document;
   SectionLines lines;
   // Without this check an empty text, such as a truncated upload, would remove
-  // everything.
+  // all sections.
   if (!root.Has("accounts")) {
     root.Problem(YamlError::kMissingKey, "accounts",
                  "accounts: [] removes all of them");
@@ -218,8 +218,8 @@
   ReadList(&root, "jobs", "job/", ReadJob, &document.jobs, &lines);
   root.Finish();
   CheckDocument(document, fleet, lines, file, problems);
-  if (problems->size() > before)
-    return (*problems)[before].code;
+  if (problems->size() > initial_problem_count)
+    return (*problems)[initial_problem_count].code;
   return document;
 }
 
--- a/config/parse.h
+++ b/config/parse.h
@@ -8,8 +8,9 @@
 //       ParseDocument(text, "config.yaml", fleet, &problems);
 //   if (!document) ...   // `problems` has all of them, with lines and hints
 //
-// The text is bounded before it is read: size, depth and number of values, and
-// no aliases, through which a small text could stand for a huge one.
+// The size, depth and number of values of the text are checked before it is
+// parsed. Aliases are rejected, since they let a small text expand to a huge
+// one.
 
 #include <map>
 #include <string>
@@ -25,7 +26,7 @@
 inline constexpr int kMaxDocumentDepth = 16;
 inline constexpr int kMaxDocumentValues = 600000;
 inline constexpr size_t kMaxSections = 20000;
-// The length of names, which become parts of row keys and of paths.
+// Maximum length of a name. Names become parts of row keys and of paths.
 inline constexpr size_t kMaxNameLength = 63;
 
 // The capacities of the workers; empty when they are not known.
@@ -35,8 +36,8 @@
 // by key. The key "" is the section itself.
 using SectionLines = std::map<std::string, std::map<std::string, int>>;
 
-// Reads and checks a whole document. On failure the error is that of the first
-// problem. `file` names the text in problems.
+// Reads and checks a whole document. Fails with the error of the first problem.
+// `file` is the file name to report in problems.
 Result<Document> ParseDocument(const std::string& text,
                                const std::string& file,
                                const Fleet& fleet,
@@ -54,12 +55,12 @@
                      const std::string& file,
                      std::vector<YamlProblem>* problems);
 
-// The text of one section: a YAML mapping with every key.
+// Returns the text of one section: a YAML mapping with every key.
 std::string ToYaml(const Account& account);
 std::string ToYaml(const Service& service);
 std::string ToYaml(const Job& job);
 
-// The text of a whole document.
+// Returns the text of a whole document.
 std::string ToYaml(const Document& document);
 
 }  // namespace cuminjunction
--- a/config/rows.h
+++ b/config/rows.h
@@ -7,8 +7,8 @@
 //   config/section/SECTION  Section
 //   config-history/VERSION  Change; the last kKeptHistory versions
 //
-// The history lies outside of `config/`, so that a node that follows the
-// configuration reads only what it needs.
+// The history has a prefix of its own, so that a node that scans `config/` for
+// updates does not read it.
 
 #include <compare>
 #include <cstdint>
@@ -26,7 +26,7 @@
 inline constexpr char kHeadKey[] = "config/head";
 inline constexpr char kSectionPrefix[] = "config/section/";
 inline constexpr uint64_t kKeptHistory = 1000;
-// Names of changed sections that a history row lists at most.
+// Maximum number of section names in a history row.
 inline constexpr size_t kMaxNamesInHistory = 50;
 
 // An accepted change.
@@ -34,15 +34,16 @@
   uint64_t version = 0;
   std::string operator_name;
   int64_t time_us = 0;
-  // Chosen by whoever submits the change; tells it from all others.
+  // Unique id, chosen by the submitter of the change.
   std::string change_id;
-  // Names of changed and removed sections, the first ones when there are many.
+  // Names of changed and removed sections; at most kMaxNamesInHistory.
   std::vector<std::string> sections;
+  // Number of all changed and removed sections.
   uint64_t section_count = 0;
 
   auto operator<=>(const Change&) const = default;
 
-  // When it was accepted, by the entry's clock.
+  // Time of acceptance by the entry's clock.
   absl::Time Time() const { return FromMicros(this->time_us); }
 
   template <class Archive>
--- a/config/sections.cc
+++ b/config/sections.cc
@@ -10,8 +10,8 @@
 constexpr std::string_view kServicePrefix = "service/";
 constexpr std::string_view kJobPrefix = "job/";
 
-// Adds a parsed section to its map. A name that differs from the section's is
-// damage.
+// Adds a parsed section to its map. Fails with kDamagedRow when the name in the
+// text differs from that of the section.
 template <class T>
 Status AddSection(std::string_view name,
                   Result<T> section,
--- a/config/sections.h
+++ b/config/sections.h
@@ -1,10 +1,10 @@
 #ifndef CONFIG_SECTIONS_H_
 #define CONFIG_SECTIONS_H_
 
-// A document as sections.
+// Splits a document into sections.
 //
 // The document is stored and distributed in sections, one for each account,
-// service and job, so that a change travels as the few sections it touches:
+// service and job, so that a change transfers only the sections it modifies:
 //
 //   SectionTexts before = ToSections(old_document);
 //   SectionDiff diff = DiffSections(before, ToSections(new_document));
@@ -29,16 +29,17 @@
 
 SectionTexts ToSections(const Document& document);
 
-// The document of the sections. Problems name the section as their file. Checks
-// that need the whole document were made when it was accepted.
+// Parses the sections into a document. Problems report the section name as
+// their file. Checks that span sections are not repeated here; they ran before
+// the document was accepted.
 Result<Document> FromSections(const SectionTexts& sections,
                               std::vector<YamlProblem>* problems);
 
-// What makes one set of sections into another.
+// The difference between two sets of sections.
 struct SectionDiff {
   // New texts of sections that are new or differ.
   SectionTexts changed;
-  // Names of sections that are gone.
+  // Names of removed sections.
   std::vector<std::string> removed;
 
   bool operator==(const SectionDiff&) const = default;
--- a/config/state.cc
+++ b/config/state.cc
@@ -15,7 +15,7 @@
 uint64_t SectionDigest(std::string_view name, const Section& section) {
   const std::string version = Encode(section.version);
   Crc64 crc;
-  // The byte between keeps ("a", "bc") and ("ab", "c") apart.
+  // The separator distinguishes ("a", "bc") from ("ab", "c").
   crc.process_bytes(name.data(), name.size());
   crc.process_byte(0);
   crc.process_bytes(version.data(), version.size());
@@ -36,18 +36,18 @@
 
 uint64_t ConfigState::SectionsDigestAfter(const Delta& delta) const {
   uint64_t out = delta.whole ? 0 : this->sections_digest;
-  const auto drop = [&](const std::string& name) {
+  const auto subtract = [&](const std::string& name) {
     const auto found = this->sections.find(name);
     if (!delta.whole && found != this->sections.end())
       out -= SectionDigest(name, found->second);
   };
   for (const auto& [name, section] : delta.changed) {
-    drop(name);
+    subtract(name);
     out += SectionDigest(name, section);
   }
   for (const auto& [name, removed_at] : delta.removed) {
-    // A name on both lists is damage, which the digest shows.
-    drop(name);
+    // A name on both lists means a damaged delta; the digest then differs.
+    subtract(name);
   }
   return out;
 }
@@ -57,8 +57,8 @@
     return false;
   if (!delta.whole && delta.from > this->version)
     return ConfigError::kMissingBase;
-  const uint64_t after = this->SectionsDigestAfter(delta);
-  if (after + VersionDigest(delta.to) != delta.digest)
+  const uint64_t new_digest = this->SectionsDigestAfter(delta);
+  if (new_digest + VersionDigest(delta.to) != delta.digest)
     return ConfigError::kDamagedDelta;
   if (delta.whole)
     this->Clear();
@@ -67,7 +67,7 @@
   for (const auto& [name, removed_at] : delta.removed)
     this->Remove(name, removed_at);
   this->version = delta.to;
-  this->sections_digest = after;
+  this->sections_digest = new_digest;
   this->floor = delta.whole ? delta.floor : this->floor;
   this->Prune();
   return true;
@@ -115,9 +115,9 @@
   if (const auto found = this->sections.find(name);
       found != this->sections.end())
     indexed = found->second.version;
-  else if (const auto gone = this->tombstones.find(name);
-           gone != this->tombstones.end())
-    indexed = gone->second;
+  else if (const auto tombstone = this->tombstones.find(name);
+           tombstone != this->tombstones.end())
+    indexed = tombstone->second;
   const auto names = this->by_version.find(indexed);
   if (names == this->by_version.end())
     return;
@@ -144,12 +144,12 @@
   if (this->version <= kKeptVersions)
     return;
   this->floor = std::max(this->floor, this->version - kKeptVersions);
-  std::vector<std::string> old;
+  std::vector<std::string> expired;
   for (const auto& [name, removed_at] : this->tombstones) {
     if (removed_at <= this->floor)
-      old.push_back(name);
+      expired.push_back(name);
   }
-  for (const std::string& name : old) {
+  for (const std::string& name : expired) {
     this->Unindex(name);
     this->tombstones.erase(name);
   }
--- a/config/state.h
+++ b/config/state.h
@@ -1,16 +1,16 @@
 #ifndef CONFIG_STATE_H_
 #define CONFIG_STATE_H_
 
-// A versioned set of sections that only moves to higher versions.
+// A set of sections with a version that only increases.
 //
 //   ConfigState state;
 //   Result<bool> applied = state.Apply(delta);   // true: a higher version
 //   Delta for_peer = state.Since(peer_version);
 //
-// Each section knows the version that changed it last, so a delta from any
-// kept version is found without keeping deltas themselves. A digest over all
-// sections, carried by each delta, shows damage and divergence before anything
-// is taken over.
+// Each section stores the version that changed it last, so a delta from any
+// retained version can be computed without storing deltas. Each delta carries a
+// digest over all sections, which detects damage and divergence before the
+// delta is applied.
 
 #include <compare>
 #include <cstdint>
@@ -25,8 +25,8 @@
 
 namespace cuminjunction {
 
-// Versions for which removals are kept. At 1,700 changes a day a node that was
-// away for 14 hours still gets a delta.
+// Number of versions for which removals are retained. At 1,700 changes a day a
+// node that was unreachable for 14 hours still gets a delta.
 inline constexpr uint64_t kKeptVersions = 1000;
 
 // A section's text and the configuration version that changed it last.
@@ -46,9 +46,10 @@
 struct Delta {
   uint64_t from = 0;
   uint64_t to = 0;
-  // The delta holds all sections, and those that it does not name are gone.
+  // The delta contains all sections; sections that it does not name are
+  // removed.
   bool whole = false;
-  // Removals at or below this version are not known to the sender.
+  // The sender has no record of removals at or below this version.
   uint64_t floor = 0;
   // Digest of the version `to` and of all sections at it.
   uint64_t digest = 0;
@@ -65,13 +66,13 @@
   }
 };
 
-// The part of a section in the digest. Digests are sums of these and of the
-// version's part modulo 2^64, so a delta changes a digest by the sections it
-// touches only.
+// The digest of one section. The digest of a state is the sum of its section
+// digests and its version digest modulo 2^64, so applying a delta only needs
+// the digests of the sections it modifies.
 uint64_t SectionDigest(std::string_view name, const Section& section);
 
-// The part of the version. Without it damage to a delta's version would make a
-// node refuse what follows.
+// The digest of a version. Without it a delta with a damaged, too high version
+// would be applied, and the node would ignore the versions that follow.
 uint64_t VersionDigest(uint64_t version);
 
 // Not thread-safe.
@@ -86,17 +87,16 @@
   }
   SectionTexts Texts() const;
 
-  // Takes a delta over. Returns false when it leads to no higher version. Fails
-  // with kMissingBase when it starts above the version held and with
-  // kDamagedDelta when its result does not have its digest; nothing changes
-  // then.
+  // Applies a delta. Returns false when its version is not higher. Fails with
+  // kMissingBase when it starts above the local version and with kDamagedDelta
+  // when the result does not match its digest; the state is then unchanged.
   Result<bool> Apply(const Delta& delta);
 
-  // The delta from version `from` to the one held; a whole one when removals
-  // since `from` are not known, and for from = 0.
+  // Returns the delta from version `from` to the local version. It contains all
+  // sections when removals since `from` are not retained, and for from = 0.
   Delta Since(uint64_t from) const;
 
-  // A delta with all sections.
+  // Returns a delta with all sections.
   Delta Whole() const;
 
  private:
@@ -113,7 +113,7 @@
   std::map<std::string, uint64_t> tombstones;
   // Names of sections and tombstones by version.
   std::map<uint64_t, std::set<std::string>> by_version;
-  // Tombstones above this version are complete.
+  // All removals above this version have a tombstone.
   uint64_t floor = 0;
 };
 
--- a/config/store.cc
+++ b/config/store.cc
@@ -30,14 +30,14 @@
   return Ok();
 }
 
-Result<Delta> UpdateBuilder::Finish(const StoreCursor& cursor) const {
+Result<Delta> UpdateBuilder::Build(const StoreCursor& cursor) const {
   if (!this->head)
     return ConfigError::kDamagedRow;
   Delta delta;
   delta.from = cursor.config_version;
   delta.to = this->head->version;
   delta.whole = cursor.table_version == 0;
-  // Tombstones in the table do not tell the configuration version.
+  // Tombstones in the table do not contain the configuration version.
   delta.floor = delta.to;
   delta.digest = this->head->digest;
   delta.changed = this->changed;
@@ -86,19 +86,19 @@
   Transaction transaction;
   transaction.id = change.change_id;
   transaction.expects = {{kHeadKey, head_table_version}};
-  const auto drop = [&](const std::string& name) {
+  const auto subtract = [&](const std::string& name) {
     const auto found = state.Sections().find(name);
     if (found != state.Sections().end())
       head.digest -= SectionDigest(name, found->second);
   };
   for (const auto& [name, text] : diff.changed) {
     const Section section = {version, text};
-    drop(name);
+    subtract(name);
     head.digest += SectionDigest(name, section);
     transaction.writes.push_back({kSectionPrefix + name, Encode(section)});
   }
   for (const std::string& name : diff.removed) {
-    drop(name);
+    subtract(name);
     transaction.writes.push_back({kSectionPrefix + name, std::nullopt});
   }
   transaction.writes.push_back({HistoryKey(version), Encode(change)});
--- a/config/store.h
+++ b/config/store.h
@@ -1,18 +1,19 @@
 #ifndef CONFIG_STORE_H_
 #define CONFIG_STORE_H_
 
-// The configuration in the platform's table.
+// Reads and changes the configuration in the platform's table.
 //
 //   ConfigStore<HttpTable> store(&table);
-//   Change other;
-//   Result<uint64_t> version = store.Accept(submission, now, &other);
+//   Change conflicting;
+//   Result<uint64_t> version = store.Accept(submission, now, &conflicting);
 //   if (!version && version.error() == ConfigError::kConflict)
-//     ...   // `other` is the change that came first
+//     ...   // `conflicting` was accepted first
 //
-// Every change writes config/head and expects the head it is based on, so of
-// two changes on one base at most one is accepted, however late a transaction
-// takes effect. A change on base B becomes version B + 1 or never, so the
-// history row B + 1 settles what a lost reply left open.
+// Every change writes config/head and expects the head it is based on, so at
+// most one of several changes on the same base is accepted, no matter how late
+// a transaction takes effect. A change on base B becomes version B + 1 or is
+// never accepted, so the history row B + 1 determines the outcome after a lost
+// reply.
 
 #include <optional>
 #include <set>
@@ -28,12 +29,12 @@
 
 namespace cuminjunction {
 
-// Rows that are read at a time.
+// Rows per page of a scan.
 inline constexpr int kConfigPageRows = 500;
-// Times that a transaction with a lost reply is sent again.
-inline constexpr int kMaxSettleRounds = 3;
+// Maximum number of times that a transaction is sent when its reply is lost.
+inline constexpr int kMaxCommitAttempts = 3;
 
-// How far a reader has followed the table.
+// The position of a reader in the table.
 struct StoreCursor {
   uint64_t table_version = 0;
   uint64_t config_version = 0;
@@ -41,7 +42,7 @@
   auto operator<=>(const StoreCursor&) const = default;
 };
 
-// A document that an operator submits. It must have been checked.
+// A document that an operator submits. The caller must have checked it.
 struct DocumentChange {
   Document document;
   // The version it is based on; 0 for the first one.
@@ -57,11 +58,12 @@
 // between two pages may write a section again.
 class UpdateBuilder {
  public:
-  // Fails with kDamagedRow.
+  // Adds a row of the scan. Fails with kDamagedRow.
   Status Add(const Row& row);
 
-  // The delta from `cursor` to the head that was read.
-  Result<Delta> Finish(const StoreCursor& cursor) const;
+  // Returns the delta from `cursor` to the head that was read. Fails with
+  // kDamagedRow when the scan contained no head.
+  Result<Delta> Build(const StoreCursor& cursor) const;
   uint64_t TableVersion() const { return this->table_version; }
 
  private:
@@ -80,11 +82,11 @@
 
 }  // namespace config_internal
 
-// Reads what changed since the cursor and moves it. Returns nullopt when
-// nothing did. The delta ends at a version that was the head, even when changes
-// are accepted meanwhile, because every change writes the head and rows come in
-// the order of commits. Fails with kUnavailable or kDamagedRow; the cursor
-// stays then.
+// Reads the changes since the cursor and advances it. Returns nullopt when
+// there are none. The delta ends at a version that was the head, even when
+// changes are accepted during the scan, because every change writes the head
+// and rows are returned in commit order. Fails with kUnavailable or
+// kDamagedRow; the cursor is then unchanged.
 template <Table T>
 Result<std::optional<Delta>> ReadStore(T* table, StoreCursor* cursor) {
   const Result<Row> head = table->Read(kHeadKey);
@@ -95,74 +97,79 @@
   if (head.value().version <= cursor->table_version)
     return std::optional<Delta>();
   config_internal::UpdateBuilder builder;
-  uint64_t seen = cursor->table_version;
+  uint64_t last_version = cursor->table_version;
   for (;;) {
     const Result<std::vector<Row>> page =
-        table->ScanSince(kConfigPrefix, seen, kConfigPageRows);
+        table->ScanSince(kConfigPrefix, last_version, kConfigPageRows);
     if (!page)
       return ConfigError::kUnavailable;
     for (const Row& row : page.value()) {
       BOOST_OUTCOME_TRYV(builder.Add(row));
-      seen = row.version;
+      last_version = row.version;
     }
     if (page.value().size() < static_cast<size_t>(kConfigPageRows))
       break;
   }
-  BOOST_OUTCOME_TRY(delta, builder.Finish(*cursor));
+  BOOST_OUTCOME_TRY(delta, builder.Build(*cursor));
   *cursor = {builder.TableVersion(), delta.to};
   return std::optional<Delta>(std::move(delta));
 }
 
-// Accepts changes. Not thread-safe; blocks as the table does.
+// Accepts changes. Not thread-safe. Calls block while the table does.
 template <Table T>
 class ConfigStore {
  public:
   // `table` must outlive this object.
   explicit ConfigStore(T* table) : table(table) {}
 
-  // The configuration as the store has it. Fails with kUnavailable or
+  // Reads the configuration from the store. Fails with kUnavailable or
   // kDamagedRow. The pointer is valid until the next call.
   Result<const ConfigState*> Load() {
     BOOST_OUTCOME_TRYV(this->Refresh());
     return &this->state;
   }
 
-  // Accepts a change and returns its version; the version held when the change
-  // changes nothing. Fails with kConflict, when another change has the base
-  // already, which `other` then describes; with kUnavailable, when the change
-  // certainly has no effect; with kUnknownOutcome, when Settle() must tell
-  // later.
+  // Accepts a change and returns its version, or the base version when the
+  // document is unchanged. Fails with
+  // - kConflict when another change on this base was accepted, which
+  //   `conflicting` then describes,
+  // - kUnavailable when the change certainly has no effect,
+  // - kUnknownOutcome when ResolveOutcome() must determine the outcome later.
   Result<uint64_t> Accept(const DocumentChange& submission,
                           absl::Time now,
-                          Change* other) {
+                          Change* conflicting) {
     if (!this->Refresh())
       return ConfigError::kUnavailable;
     if (this->state.Version() != submission.base) {
-      const Result<uint64_t> settled = this->Settle(submission, other);
-      if (settled || settled.error() != ConfigError::kUnknownOutcome)
-        return settled;
-      // A base above the head is a conflict with what the head is.
+      const Result<uint64_t> resolved =
+          this->ResolveOutcome(submission, conflicting);
+      if (resolved || resolved.error() != ConfigError::kUnknownOutcome)
+        return resolved;
+      // A base above the head is a conflict with the head.
       BOOST_OUTCOME_TRY(head, this->ReadHead());
-      *other = DescribeHead(head);
+      *conflicting = DescribeHead(head);
       return ConfigError::kConflict;
     }
     const SectionDiff diff =
         DiffSections(this->state.Texts(), ToSections(submission.document));
     if (diff.IsEmpty())
       return submission.base;
-    return this->CommitAndSettle(
+    return this->CommitAndResolve(
         config_internal::MakeTransaction(
             this->state, this->cursor.table_version, diff, submission, now),
-        submission, other);
+        submission, conflicting);
   }
 
-  // What became of a submission whose outcome was unknown: its version; or
-  // kConflict, when another change took its place, so that it never takes
-  // effect; or kUnknownOutcome, when the base is still the head; or
-  // kUnavailable.
-  Result<uint64_t> Settle(const DocumentChange& submission, Change* other) {
-    // The head comes first: a change that is accepted between the two reads is
-    // then unknown and not taken for another one.
+  // Determines the outcome of a submission. Returns its version if it was
+  // accepted. Fails with
+  // - kConflict when another change on this base was accepted, so that this one
+  //   never takes effect; `conflicting` then describes it,
+  // - kUnknownOutcome while the base is still the head,
+  // - kUnavailable when the store can't be read.
+  Result<uint64_t> ResolveOutcome(const DocumentChange& submission,
+                                  Change* conflicting) {
+    // The head must be read first: if the change is accepted between the two
+    // reads, the outcome is then unknown instead of a false conflict.
     const Result<ConfigHead> head = this->ReadHead();
     if (!head)
       return head.error();
@@ -170,19 +177,19 @@
       return ConfigError::kUnknownOutcome;
     const Result<Change> next = this->ReadChange(submission.base + 1);
     if (!next && next.error() == TableError::kNotFound) {
-      // Dropped from the history for its age.
-      *other = DescribeHead(head.value());
+      // The row is older than the retained history.
+      *conflicting = DescribeHead(head.value());
       return ConfigError::kConflict;
     }
     if (!next)
       return ConfigError::kUnavailable;
     if (next.value().change_id == submission.change_id)
       return next.value().version;
-    *other = next.value();
+    *conflicting = next.value();
     return ConfigError::kConflict;
   }
 
-  // The last changes, newest first, at most `limit`.
+  // Returns at most `limit` of the latest changes, newest first.
   Result<std::vector<Change>> History(int limit) {
     std::vector<Change> out;
     BOOST_OUTCOME_TRY(head, this->ReadHead());
@@ -208,7 +215,7 @@
     const Result<bool> applied = this->state.Apply(*delta.value());
     if (applied)
       return Ok();
-    // The copy held here or the rows are damaged: read all of them anew.
+    // The local copy or the rows are damaged; the next call reads all rows.
     this->cursor = {};
     this->state = {};
     return applied.error();
@@ -219,7 +226,7 @@
     return Decode<Change>(row.value);
   }
 
-  // The head; version 0 when nothing was accepted yet.
+  // Returns the head, with version 0 when no change was accepted yet.
   Result<ConfigHead> ReadHead() {
     const Result<Row> row = this->table->Read(kHeadKey);
     if (!row && row.error() == TableError::kNotFound)
@@ -237,14 +244,14 @@
         head.version, head.operator_name, head.time_us, head.change_id, {}, 0};
   }
 
-  // Sends the transaction until its outcome is known. It may be sent again,
-  // since it expects the head of its base: at most one of the copies takes
-  // effect.
-  Result<uint64_t> CommitAndSettle(const Transaction& transaction,
-                                   const DocumentChange& submission,
-                                   Change* other) {
+  // Sends the transaction until its outcome is known, at most
+  // kMaxCommitAttempts times. Sending it again is safe: each copy expects the
+  // head of its base, so at most one of them takes effect.
+  Result<uint64_t> CommitAndResolve(const Transaction& transaction,
+                                    const DocumentChange& submission,
+                                    Change* conflicting) {
     bool maybe_sent = false;
-    for (int round = 0; round < kMaxSettleRounds; ++round) {
+    for (int attempt = 0; attempt < kMaxCommitAttempts; ++attempt) {
       const Result<uint64_t> committed = this->table->Commit(transaction);
       if (committed)
         return submission.base + 1;
@@ -254,9 +261,10 @@
                           : ConfigError::kUnavailable;
       }
       maybe_sent = true;
-      const Result<uint64_t> settled = this->Settle(submission, other);
-      if (settled || settled.error() == ConfigError::kConflict)
-        return settled;
+      const Result<uint64_t> resolved =
+          this->ResolveOutcome(submission, conflicting);
+      if (resolved || resolved.error() == ConfigError::kConflict)
+        return resolved;
     }
     return ConfigError::kUnknownOutcome;
   }
--- a/config/testing/change_log_test.cc
+++ b/config/testing/change_log_test.cc
@@ -21,13 +21,14 @@
   EXPECT_EQ(log.Find("c1")->state, "submitted");
   ASSERT_TRUE(log.OnCheck("c1", true));
   ASSERT_TRUE(log.OnCommit("c1", 7));
-  log.OnLeastVersion(6);
+  log.OnMinimumVersion(6);
   EXPECT_EQ(log.Find("c1")->state, "accepted");
-  log.OnLeastVersion(8);
+  log.OnMinimumVersion(8);
   EXPECT_EQ(log.Find("c1")->state, "in_force");
 }
 
-// Guards against calling a change refused that may still take effect.
+// Guards against reporting a change as refused that may still take effect: an
+// outage follows a commit whose reply was lost.
 TEST(ChangeLogTest, OutageDoesNotCloseAnOpenOutcome) {
   ChangeLog log = MakeLog();
   log.Submit("c1");
@@ -41,7 +42,8 @@
   EXPECT_EQ(log.Find("c1")->state, "conflicted");
 }
 
-// Guards against a step that the chart does not have.
+// Guards against a transition that the chart does not define: a commit after a
+// failed check.
 TEST(ChangeLogTest, RejectedChangeIsNotCommitted) {
   ChangeLog log = MakeLog();
   log.Submit("c1");
@@ -54,7 +56,7 @@
 }
 
 // Guards against a log that grows without bound.
-TEST(ChangeLogTest, ForgetsTheOldest) {
+TEST(ChangeLogTest, DropsTheOldest) {
   ChangeLog log = MakeLog();
   for (size_t i = 0; i <= kMaxTrackedChanges; ++i)
     log.Submit(StrCat(i));
--- a/config/testing/examples_test.cc
+++ b/config/testing/examples_test.cc
@@ -17,8 +17,8 @@
 
 class ExamplesTest : public testing::TestWithParam<Example> {};
 
-// Guards against an example that operators copy and that is refused, or whose
-// tasks can never run in the demo.
+// Guards against an example configuration that is refused, or whose tasks can
+// never run in the demo. Operators copy the examples.
 TEST_P(ExamplesTest, IsAcceptedForItsFleet) {
   const std::string path = std::string(CUMINJUNCTION_SOURCE_DIR "/examples/") +
                            GetParam().name + "/config.yaml";
--- a/config/testing/parse_test.cc
+++ b/config/testing/parse_test.cc
@@ -39,7 +39,7 @@
   return ParseDocument(text, "c.yaml", fleet, problems);
 }
 
-// The problems of the example after a replacement.
+// Returns the problems of the example after replacing `from` by `to`.
 std::vector<std::string> ProblemsWith(const std::string& from,
                                       const std::string& to,
                                       const Fleet& fleet = {}) {
@@ -128,7 +128,7 @@
             "packing-plan)");
 }
 
-// Guards against a small text that takes all memory or the whole stack.
+// Guards against a small text that exhausts the memory or the stack.
 TEST(ParseTest, HostileTextsAreRefused) {
   const auto first = [](const std::string& text) {
     std::vector<YamlProblem> problems;
@@ -148,8 +148,8 @@
   EXPECT_EQ(first(many + "]"), ConfigError::kTooManyValues);
 }
 
-// Guards against removing everything because a text arrived empty or only its
-// first part was read.
+// Guards against removing all sections because a text arrived empty or only its
+// first document was read.
 TEST(ParseTest, EmptyOrPartlyReadTextIsRefused) {
   std::vector<YamlProblem> problems;
   EXPECT_FALSE(Parse("", &problems));
@@ -170,8 +170,8 @@
           *rc::gen::inRange<int64_t>(0, 9)};
 }
 
-// Guards against sections that read back as something else, for instance a
-// command that looks like null or a number that loses its last digit.
+// Guards against sections that change when they are written and parsed again,
+// such as a command that looks like null or a number that loses a digit.
 RC_GTEST_PROP(ParseTest, SectionsReadBackAsTheyWere, ()) {
   const std::string text = *rc::gen::container<std::string>(
       rc::gen::elementOf(std::string("ab 01~#:'\"{}[],&*!|>%@`\n\t\\-?")));
@@ -202,9 +202,8 @@
   }
 }
 
-// Guards against a command that is stored as another one: yaml-cpp replaces
-// bytes that are not UTF-8, and code points that are no characters, when it
-// writes a text between double quotes.
+// Guards against a command that changes when it is stored: yaml-cpp replaces
+// invalid UTF-8 and noncharacter code points in double-quoted strings.
 TEST(ParseTest, TextThatCannotBeWrittenIsRefused) {
   const std::string head =
       "accounts:\n  - name: a\n    quota: {cores: 1, memory_gib: 1}\n"
--- a/config/testing/store_faults_test.cc
+++ b/config/testing/store_faults_test.cc
@@ -8,7 +8,8 @@
 namespace cuminjunction {
 namespace {
 
-// Operators that submit changes through three entries over a faulty table.
+// Simulates operators that submit changes through three entries over a faulty
+// table.
 class Operators {
  public:
   Operators() : table(*rc::gen::inRange<uint64_t>(0, 1000000)) {
@@ -29,27 +30,27 @@
     this->Submit();
   }
 
-  // Ends the faults, lets late writes take effect and compares what operators
-  // were told with what was accepted.
-  void Check() {
+  // Ends the faults, applies late writes and compares the outcomes reported to
+  // operators with the accepted changes.
+  void CheckOutcomes() {
     this->table.SetFaults({});
     this->table.SetNow(this->now + absl::Hours(1));
     std::set<std::string> accepted;
     const std::vector<Change> history = this->stores[0].History(1000).value();
     for (const Change& change : history)
       RC_ASSERT(accepted.insert(change.change_id).second);
-    for (const auto& [submission, told] : this->results) {
-      Change other;
-      const Result<uint64_t> settled =
-          this->stores[1].Settle(submission, &other);
+    for (const auto& [submission, reported] : this->results) {
+      Change conflicting;
+      const Result<uint64_t> resolved =
+          this->stores[1].ResolveOutcome(submission, &conflicting);
       const bool was_accepted = accepted.contains(submission.change_id);
-      if (told) {
+      if (reported) {
         RC_ASSERT(was_accepted);
-        RC_ASSERT(settled.value() == told.value());
-      } else if (told.error() != ConfigError::kUnknownOutcome) {
+        RC_ASSERT(resolved.value() == reported.value());
+      } else if (reported.error() != ConfigError::kUnknownOutcome) {
         RC_ASSERT(!was_accepted);
       }
-      RC_ASSERT(settled.has_value() == was_accepted);
+      RC_ASSERT(resolved.has_value() == was_accepted);
     }
     const ConfigState* state = this->stores[2].Load().value();
     RC_ASSERT(state->Version() == history.size());
@@ -67,7 +68,7 @@
       return;
     DocumentChange submission;
     submission.base = state.value()->Version();
-    // An operator who has not looked for a while.
+    // The operator submits on an outdated base.
     if (submission.base > 0 && *rc::gen::inRange(0, 4) == 0)
       --submission.base;
     submission.change_id = StrCat("c", this->results.size());
@@ -77,9 +78,10 @@
     const std::string extra = StrCat("x", *rc::gen::inRange(0, 3));
     submission.document.accounts[extra] = {extra, 1, {1, 1, 0}};
     this->documents[submission.change_id] = submission.document;
-    Change other;
-    const Result<uint64_t> told = store.Accept(submission, this->now, &other);
-    this->results.emplace_back(std::move(submission), told);
+    Change conflicting;
+    const Result<uint64_t> reported =
+        store.Accept(submission, this->now, &conflicting);
+    this->results.emplace_back(std::move(submission), reported);
   }
 
   FaultyTable table;
@@ -89,16 +91,16 @@
   std::map<std::string, Document> documents;
 };
 
-// Guards against an operator who is told "accepted" for a change that is not,
-// or "no effect" for one that takes effect later, and against a change that is
-// accepted twice.
-RC_GTEST_PROP(StoreFaultsTest, OperatorsAreToldTheTruth, ()) {
+// Guards against reporting a change as accepted that is not, or as without
+// effect although it takes effect later, and against accepting a change twice.
+// Lost replies and late writes can cause both.
+RC_GTEST_PROP(StoreFaultsTest, ReportedOutcomesAreCorrect, ()) {
   for (int schedule = 0; schedule < 10; ++schedule) {
     Operators operators;
     const auto steps = *rc::gen::inRange(0, 60);
     for (int i = 0; i < steps; ++i)
       operators.Step();
-    operators.Check();
+    operators.CheckOutcomes();
   }
 }
 
--- a/config/testing/store_test.cc
+++ b/config/testing/store_test.cc
@@ -24,7 +24,7 @@
   return {std::move(document), base, operator_name, change_id};
 }
 
-// A table that hands each call of Commit() to a test.
+// A table whose Commit() is provided by the test.
 class ScriptedTable {
  public:
   using OnCommit = std::function<Result<uint64_t>(const Transaction&)>;
@@ -61,7 +61,7 @@
   ApplyDiff(diff, &result);
   std::vector<YamlProblem> problems;
   EXPECT_EQ(FromSections(result, &problems).value(), to);
-  // Guards against a row under the wrong key.
+  // A section stored under the wrong key is detected.
   EXPECT_EQ(
       FromSections({{"account/x", result.at("account/b")}}, &problems).error(),
       ConfigError::kDamagedRow);
@@ -70,18 +70,21 @@
 TEST(ConfigStoreTest, AcceptsChangesInOrder) {
   MemoryTable table;
   ConfigStore store(&table);
-  Change other;
-  EXPECT_EQ(store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &other).value(),
-            1u);
+  Change conflicting;
   EXPECT_EQ(
-      store.Accept(Submit(MakeDocument({"b"}), 1, "bob", "c2"), kNow, &other)
-          .value(),
-      2u);
-  // A change without content makes no version.
-  EXPECT_EQ(
-      store.Accept(Submit(MakeDocument({"b"}), 2, "bob", "c3"), kNow, &other)
-          .value(),
-      2u);
+      store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &conflicting).value(),
+      1u);
+  EXPECT_EQ(store
+                .Accept(Submit(MakeDocument({"b"}), 1, "bob", "c2"), kNow,
+                        &conflicting)
+                .value(),
+            2u);
+  // A change that modifies no section creates no version.
+  EXPECT_EQ(store
+                .Accept(Submit(MakeDocument({"b"}), 2, "bob", "c3"), kNow,
+                        &conflicting)
+                .value(),
+            2u);
   ConfigStore fresh(&table);
   EXPECT_EQ(fresh.Load().value()->Texts(), ToSections(MakeDocument({"b"})));
   EXPECT_EQ(fresh.Load().value()->Version(), 2u);
@@ -94,33 +97,33 @@
 }
 
 // Guards against a change that silently replaces another operator's.
-TEST(ConfigStoreTest, LoserOfARaceLearnsOfTheWinner) {
+TEST(ConfigStoreTest, ConflictReportsTheAcceptedChange) {
   MemoryTable table;
   ConfigStore ann(&table);
   ConfigStore bob(&table);
-  Change other;
-  ASSERT_TRUE(ann.Accept(Submit(MakeDocument({"a"}), 0), kNow, &other));
+  Change conflicting;
+  ASSERT_TRUE(ann.Accept(Submit(MakeDocument({"a"}), 0), kNow, &conflicting));
   // Both have read version 1 when they submit.
   ASSERT_TRUE(ann.Load());
   ASSERT_TRUE(bob.Load());
   ASSERT_TRUE(ann.Accept(Submit(MakeDocument({"a", "x"}), 1, "ann", "c2"), kNow,
-                         &other));
-  EXPECT_EQ(
-      bob.Accept(Submit(MakeDocument({"a", "y"}), 1, "bob", "c3"), kNow, &other)
-          .error(),
-      ConfigError::kConflict);
-  EXPECT_EQ(other.operator_name, "ann");
-  EXPECT_EQ(other.change_id, "c2");
-  EXPECT_EQ(other.version, 2u);
+                         &conflicting));
+  EXPECT_EQ(bob.Accept(Submit(MakeDocument({"a", "y"}), 1, "bob", "c3"), kNow,
+                       &conflicting)
+                .error(),
+            ConfigError::kConflict);
+  EXPECT_EQ(conflicting.operator_name, "ann");
+  EXPECT_EQ(conflicting.change_id, "c2");
+  EXPECT_EQ(conflicting.version, 2u);
   // A base that does not exist is a conflict with the head.
-  EXPECT_EQ(
-      bob.Accept(Submit(MakeDocument({"y"}), 9, "bob", "c4"), kNow, &other)
-          .error(),
-      ConfigError::kConflict);
-  EXPECT_EQ(other.version, 2u);
+  EXPECT_EQ(bob.Accept(Submit(MakeDocument({"y"}), 9, "bob", "c4"), kNow,
+                       &conflicting)
+                .error(),
+            ConfigError::kConflict);
+  EXPECT_EQ(conflicting.version, 2u);
 }
 
-// Guards against the race that the check of the base can't see: the other
+// Guards against a race that the check of the base does not detect: the other
 // change is committed after the head was read.
 TEST(ConfigStoreTest, RaceInsideTheCommitIsAConflict) {
   ScriptedTable table(nullptr);
@@ -132,28 +135,32 @@
     return table.table.Commit(transaction);
   };
   ConfigStore ann(&table);
-  Change other;
-  EXPECT_EQ(ann.Accept(Submit(MakeDocument({"a"}), 0), kNow, &other).error(),
-            ConfigError::kConflict);
-  EXPECT_EQ(other.operator_name, "bob");
+  Change conflicting;
+  EXPECT_EQ(
+      ann.Accept(Submit(MakeDocument({"a"}), 0), kNow, &conflicting).error(),
+      ConfigError::kConflict);
+  EXPECT_EQ(conflicting.operator_name, "bob");
   EXPECT_EQ(ConfigStore(&table.table).Load().value()->Texts(),
             ToSections(MakeDocument({"b"})));
 }
 
-// Guards against reporting a conflict of a change with itself.
-TEST(ConfigStoreTest, LostReplyIsSettledByTheChangeId) {
+// Guards against reporting a conflict of a change with itself after its reply
+// was lost.
+TEST(ConfigStoreTest, LostReplyIsResolvedByTheChangeId) {
   ScriptedTable table(nullptr);
   table.on_commit = [&](const Transaction& transaction) -> Result<uint64_t> {
     (void)table.table.Commit(transaction);
     return TableError::kUnknownOutcome;
   };
   ConfigStore store(&table);
-  Change other;
-  EXPECT_EQ(store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &other).value(),
-            1u);
+  Change conflicting;
+  EXPECT_EQ(
+      store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &conflicting).value(),
+      1u);
   // The operator submits the same change again.
-  EXPECT_EQ(store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &other).value(),
-            1u);
+  EXPECT_EQ(
+      store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &conflicting).value(),
+      1u);
 }
 
 // Guards against a write that takes effect after the change was sent again.
@@ -168,14 +175,16 @@
     return table.table.Commit(late[1]);
   };
   ConfigStore store(&table);
-  Change other;
-  EXPECT_EQ(store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &other).value(),
-            1u);
+  Change conflicting;
+  EXPECT_EQ(
+      store.Accept(Submit(MakeDocument({"a"}), 0), kNow, &conflicting).value(),
+      1u);
   EXPECT_EQ(store.Load().value()->Version(), 1u);
 }
 
-// Guards against "no effect" for a change that may still take effect.
-TEST(ConfigStoreTest, OutageAfterALostReplyLeavesTheOutcomeOpen) {
+// Guards against reporting kUnavailable for a change that may still take
+// effect: the reply to its commit was lost and an outage followed.
+TEST(ConfigStoreTest, OutageAfterALostReplyLeavesTheOutcomeUnknown) {
   ScriptedTable table(nullptr);
   Transaction late;
   table.on_commit = [&](const Transaction& transaction) -> Result<uint64_t> {
@@ -184,31 +193,33 @@
     return first ? TableError::kUnknownOutcome : TableError::kUnavailable;
   };
   ConfigStore store(&table);
-  Change other;
+  Change conflicting;
   const DocumentChange submission = Submit(MakeDocument({"a"}), 0);
-  EXPECT_EQ(store.Accept(submission, kNow, &other).error(),
+  EXPECT_EQ(store.Accept(submission, kNow, &conflicting).error(),
             ConfigError::kUnknownOutcome);
-  EXPECT_EQ(store.Settle(submission, &other).error(),
+  EXPECT_EQ(store.ResolveOutcome(submission, &conflicting).error(),
             ConfigError::kUnknownOutcome);
   ASSERT_TRUE(table.table.Commit(late));
-  EXPECT_EQ(store.Settle(submission, &other).value(), 1u);
+  EXPECT_EQ(store.ResolveOutcome(submission, &conflicting).value(), 1u);
   table.down = true;
-  EXPECT_EQ(store.Accept(Submit(MakeDocument({"b"}), 1), kNow, &other).error(),
-            ConfigError::kUnavailable);
+  EXPECT_EQ(
+      store.Accept(Submit(MakeDocument({"b"}), 1), kNow, &conflicting).error(),
+      ConfigError::kUnavailable);
 }
 
-// Guards against a torn state when changes are accepted between two pages.
+// Guards against an inconsistent state when changes are accepted between two
+// pages of a scan.
 TEST(ConfigStoreTest, ReaderEndsAtAVersionThatWasTheHead) {
   MemoryTable table;
   ConfigStore writer(&table);
-  Change other;
+  Change conflicting;
   Document document;
   std::map<uint64_t, SectionTexts> accepted;
   const auto accept = [&] {
     const uint64_t base = accepted.size();
     ASSERT_EQ(writer
                   .Accept(Submit(document, base, "ann", StrCat("c", base)),
-                          kNow, &other)
+                          kNow, &conflicting)
                   .value(),
               base + 1);
     accepted[base + 1] = ToSections(document);
--- a/config/write.cc
+++ b/config/write.cc
@@ -9,12 +9,14 @@
 
 namespace {
 
-// A quantity of thousandths or of 1/1024ths in decimals, exact and without
-// zeros at the end. Ten decimals hold any multiple of 1/1024.
-std::string Decimal(int64_t value, int64_t units) {
+// Formats value / units_per_one exactly as a decimal without trailing zeros.
+// `units_per_one` is 1000 or 1024; ten decimals represent any multiple of
+// 1/1024.
+std::string Decimal(int64_t value, int64_t units_per_one) {
   char text[64];
-  std::snprintf(text, sizeof(text), "%.10f",
-                static_cast<double>(value) / static_cast<double>(units));
+  std::snprintf(
+      text, sizeof(text), "%.10f",
+      static_cast<double>(value) / static_cast<double>(units_per_one));
   std::string out = text;
   while (out.back() == '0')
     out.pop_back();
@@ -35,7 +37,7 @@
   return "";
 }
 
-// yaml-cpp writes control characters as \x escapes only between double quotes.
+// yaml-cpp escapes control characters only in double-quoted strings.
 void Add(YAML::Emitter* out, const char* key, const std::string& value) {
   *out << YAML::Key << key << YAML::Value;
   if (value.find_first_of("\n\t\r") != std::string::npos)
--- a/config/yaml_limits.cc
+++ b/config/yaml_limits.cc
@@ -13,75 +13,77 @@
 
 namespace {
 
-// Counts values and depth while yaml-cpp reads the text, without keeping any
-// of it. yaml-cpp itself stops at 500 levels of nesting.
+// Counts values and depth from the parser's events, without storing the text.
+// yaml-cpp itself stops at 500 levels of nesting.
 class LimitCounter : public YAML::EventHandler {
  public:
-  // The first limit exceeded: its error, its line counted from 1, a hint.
+  // An exceeded limit. `line` is counted from 1.
   struct Excess {
     ConfigError error;
     int line;
     std::string hint;
   };
 
-  const std::optional<Excess>& First() const { return this->first; }
+  const std::optional<Excess>& FirstExcess() const {
+    return this->first_excess;
+  }
 
   void OnDocumentStart(const YAML::Mark& mark) override {
     if (++this->documents > 1)
-      this->Exceeded(ConfigError::kSeveralDocuments, mark, "");
+      this->RecordExcess(ConfigError::kSeveralDocuments, mark, "");
   }
   void OnDocumentEnd() override {}
   void OnNull(const YAML::Mark& mark, YAML::anchor_t /*anchor*/) override {
-    this->Value(mark);
+    this->CountValue(mark);
   }
   void OnAlias(const YAML::Mark& mark, YAML::anchor_t /*anchor*/) override {
-    this->Exceeded(ConfigError::kAlias, mark, "write the value out");
+    this->RecordExcess(ConfigError::kAlias, mark, "write the value out");
   }
   void OnScalar(const YAML::Mark& mark,
                 const std::string& /*tag*/,
                 YAML::anchor_t /*anchor*/,
                 const std::string& /*value*/) override {
-    this->Value(mark);
+    this->CountValue(mark);
   }
   void OnSequenceStart(const YAML::Mark& mark,
                        const std::string& /*tag*/,
                        YAML::anchor_t /*anchor*/,
                        YAML::EmitterStyle::value /*style*/) override {
-    this->Enter(mark);
+    this->EnterCollection(mark);
   }
   void OnSequenceEnd() override { --this->depth; }
   void OnMapStart(const YAML::Mark& mark,
                   const std::string& /*tag*/,
                   YAML::anchor_t /*anchor*/,
                   YAML::EmitterStyle::value /*style*/) override {
-    this->Enter(mark);
+    this->EnterCollection(mark);
   }
   void OnMapEnd() override { --this->depth; }
 
  private:
-  void Enter(const YAML::Mark& mark) {
-    this->Value(mark);
+  void EnterCollection(const YAML::Mark& mark) {
+    this->CountValue(mark);
     if (++this->depth > kMaxDocumentDepth) {
-      this->Exceeded(ConfigError::kTooDeep, mark,
-                     StrCat("at most ", kMaxDocumentDepth, " levels"));
+      this->RecordExcess(ConfigError::kTooDeep, mark,
+                         StrCat("at most ", kMaxDocumentDepth, " levels"));
     }
   }
 
-  void Value(const YAML::Mark& mark) {
+  void CountValue(const YAML::Mark& mark) {
     if (++this->values > kMaxDocumentValues) {
-      this->Exceeded(ConfigError::kTooManyValues, mark,
-                     StrCat("at most ", kMaxDocumentValues));
+      this->RecordExcess(ConfigError::kTooManyValues, mark,
+                         StrCat("at most ", kMaxDocumentValues));
     }
   }
 
-  void Exceeded(ConfigError error,
-                const YAML::Mark& mark,
-                const std::string& hint) {
-    if (!this->first)
-      this->first = Excess{error, mark.line + 1, hint};
+  void RecordExcess(ConfigError error,
+                    const YAML::Mark& mark,
+                    const std::string& hint) {
+    if (!this->first_excess)
+      this->first_excess = Excess{error, mark.line + 1, hint};
   }
 
-  std::optional<Excess> first;
+  std::optional<Excess> first_excess;
   int documents = 0;
   int depth = 0;
   int values = 0;
@@ -101,7 +103,7 @@
   try {
     std::istringstream stream(text);
     YAML::Parser parser(stream);
-    while (!counter.First() && parser.HandleNextDocument(counter)) {
+    while (!counter.FirstExcess() && parser.HandleNextDocument(counter)) {
     }
   } catch (const YAML::DeepRecursion& error) {
     problems->push_back({ConfigError::kTooDeep, file, error.mark.line + 1, "",
@@ -112,10 +114,11 @@
         {YamlError::kSyntax, file, error.mark.line + 1, "", error.msg});
     return false;
   }
-  if (!counter.First())
+  if (!counter.FirstExcess())
     return true;
-  problems->push_back({counter.First()->error, file, counter.First()->line, "",
-                       counter.First()->hint});
+  problems->push_back({counter.FirstExcess()->error, file,
+                       counter.FirstExcess()->line, "",
+                       counter.FirstExcess()->hint});
   return false;
 }
 
--- a/testing/support/replay_config.cc
+++ b/testing/support/replay_config.cc
@@ -57,7 +57,7 @@
     Change other;
     const Result<uint64_t> version =
         op == "submit" ? this->store.Accept(submission, now, &other)
-                       : this->store.Settle(submission, &other);
+                       : this->store.ResolveOutcome(submission, &other);
     if (version)
       return json{{"version", version.value()}};
     return json{{"error", version.error().message()},
