--- a/config/error.cc
+++ b/config/error.cc
@@ -43,7 +43,7 @@
     case ConfigError::kDamagedRow:
       return "row of the configuration can't be read";
     case ConfigError::kDamagedDelta:
-      return "message is malformed or delta does not match its digest";
+      return "delta is damaged or does not produce the state of its digest";
     case ConfigError::kMissingBase:
       return "delta starts above the local version";
   }
