--- a/daemon/fleet_message.h
+++ b/daemon/fleet_message.h
@@ -26,7 +26,7 @@
 
 #include "base/codec.h"
 #include "base/error.h"
-#include "submission/neighbours.h"
+#include "submission/interference_model.h"
 #include "submission/permits.h"
 #include "submission/types.h"
 
@@ -291,7 +291,7 @@
 // that has none yet.
 struct InterferenceNotice {
   uint64_t epoch = 0;
-  std::vector<PairEvidence> pairs;
+  std::vector<InterferenceEstimate> pairs;
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/daemon/fleet_planner.cc
+++ b/daemon/fleet_planner.cc
@@ -104,7 +104,7 @@
                      return;
                    this->deferred.erase(node);
                    this->sent_starts.erase(node);
-                   this->scheduler->Disconnected(node);
+                   this->scheduler->OnDisconnected(node);
                    this->FailQueries(
                        [&](const SentQuery& query) { return query.vm == node; },
                        BootClock().Now());
@@ -113,7 +113,7 @@
              .on_granted =
                  [this](const std::string& node, absl::Time grant_deadline) {
                    if (this->scheduler)
-                     this->scheduler->ExtendAuthority(node, grant_deadline);
+                     this->scheduler->ExtendGrant(node, grant_deadline);
                  },
              .on_message =
                  [this](const std::string& node, FleetMessage&& message) {
@@ -174,7 +174,7 @@
   this->nodes.Tick(this->CurrentGrant(now), this->CommitsFailing(now));
   // Once the lease has expired, another planner may have made later grants.
   if (now < this->lease.Expiry())
-    this->scheduler->Expire(now);
+    this->scheduler->ExpireGrants(now);
   this->FailQueries(
       [now](const SentQuery& query) { return query.deadline < now; }, now);
   this->ReconcileFromFeeds(now);
@@ -210,7 +210,7 @@
           .Add("workers_to_hear", this->scheduler->UnresolvedCount())
           .Add("wait_ms",
                absl::ToDoubleMilliseconds(grant_deadline - BootClock().Now())));
-  this->scheduler->LimitInherited(grant_deadline);
+  this->scheduler->LimitInheritedGrants(grant_deadline);
 }
 
 bool FleetPlanner::CommitsFailing(absl::Time now) const {
@@ -255,11 +255,11 @@
   const auto deferred_before = this->deferred.find(node);
   bool all_known = deferred_before == this->deferred.end();
   if (const auto* notice = std::get_if<WorkerNotice>(message))
-    all_known =
-        all_known && this->scheduler->KnowsAll(notice->running, notice->ended);
+    all_known = all_known && this->scheduler->HasSubmissionsOf(notice->running,
+                                                               notice->ended);
   else if (const auto* ends_notice = std::get_if<EndedRunsNotice>(message))
-    all_known =
-        all_known && this->scheduler->KnowsAll({}, ends_notice->ended_runs);
+    all_known = all_known &&
+                this->scheduler->HasSubmissionsOf({}, ends_notice->ended_runs);
   if (all_known)
     return false;
   this->deferred[node].push_back(std::move(*message));
@@ -308,19 +308,20 @@
                            .Add("run", static_cast<uint64_t>(end.run))
                            .Add("vm", node)
                            .Add("number", end.number)
-                           .Add("how", ToString(end.kind)));
+                           .Add("how", ToString(end.outcome)));
       this->scheduler->OnEnded(node, end, now);
       this->ends_to_confirm[node] = {ends_notice->born_ms, end.number};
     }
   } else if (const auto* sample = std::get_if<InterferenceSample>(&message)) {
     for (const auto& [image, latency_ratio] : sample->latency_ratios)
-      this->scheduler->Observe(node, image, latency_ratio, sample->filling_load,
-                               now);
-    this->nodes.Send(node, InterferenceNotice{this->lease.Epoch(),
-                                              this->scheduler->PairsOn(node)});
+      this->scheduler->AddLatencySample(node, image, latency_ratio,
+                                        sample->filling_load, now);
+    this->nodes.Send(node,
+                     InterferenceNotice{this->lease.Epoch(),
+                                        this->scheduler->InterferenceOn(node)});
     return;
   } else if (const auto* pairs = std::get_if<InterferenceNotice>(&message)) {
-    this->scheduler->Adopt(pairs->pairs);
+    this->scheduler->MergeInterference(pairs->pairs);
     return;
   } else if (const auto* answer = std::get_if<PermitAnswer>(&message)) {
     this->OnPermitAnswer(*answer);
@@ -328,7 +329,8 @@
     // An earlier planner may already have read it from the table and started
     // it.
     this->scheduler->Add(accepted->submission, std::nullopt,
-                         UncertainSince(this->lease.Epoch()), now, absl::Now());
+                         UnresolvedRunsBefore(this->lease.Epoch()), now,
+                         absl::Now());
   } else if (const auto* request = std::get_if<StoreRequest>(&message)) {
     this->OnStoreRequest(node, *request);
   } else if (const auto* cancelled = std::get_if<CancelledNotice>(&message)) {
@@ -344,7 +346,7 @@
   if (request.cancel)
     puts.push_back({kCancellationTable, id, ""});
   // A known submission already has its row, which is written only once.
-  else if (!this->scheduler->Knows(id))
+  else if (!this->scheduler->HasSubmission(id))
     puts.push_back(
         {kSubmissionTable, id, Encode(SubmissionRow{request.submission})});
   this->lease.Write(std::move(puts), [this, node, request] {
@@ -352,7 +354,7 @@
       this->scheduler->Cancel(request.submission.id);
     else
       this->scheduler->Add(request.submission, std::nullopt,
-                           UncertainSince(this->lease.Epoch()),
+                           UnresolvedRunsBefore(this->lease.Epoch()),
                            BootClock().Now(), absl::Now());
     this->nodes.Send(node, StoreDone{this->lease.Epoch(), request.number});
     this->SchedulePlan();
@@ -377,7 +379,7 @@
                        .Add("draining", notice.info.draining)
                        .Add("running", notice.running.size())
                        .Add("ended", notice.ended.size()));
-  this->scheduler->Sync(report, BootClock().Now());
+  this->scheduler->MergeReport(report, BootClock().Now());
   this->DescribeTo(node);
 }
 
--- a/daemon/planner_task.cc
+++ b/daemon/planner_task.cc
@@ -47,7 +47,7 @@
       waiting(metrics->GetGauge("planner_waiting_tasks")),
       thread("planner"),
       timer(this->thread.Context()) {
-  this->loop.SetNudge(on_worker_changed);
+  this->loop.SetWorkerChangedCallback(on_worker_changed);
   this->thread.Start();
   this->thread.Post([this] { this->Tick(); });
 }
