--- a/task/planner_loop.h
+++ b/task/planner_loop.h
@@ -186,7 +186,7 @@
   // does not answer.
   bool ReadChanges() {
     if (!this->has_taken_over) {
-      this->follower.TakeOver();
+      this->follower.ReadNewestFirst();
       this->has_taken_over = true;
     }
     std::vector<Row> changed;
--- a/task/row.h
+++ b/task/row.h
@@ -70,21 +70,22 @@
 
 enum class TaskKind : uint8_t { kReplica = 0, kWatcher = 1, kBatch = 2 };
 
-// Names as in the charts and in row texts.
+// The names that the charts and the row values use.
 const std::string& ToString(TaskState state);
 const std::string& ToString(WorkerState state);
 const std::string& ToString(TaskKind kind);
 Result<TaskState> ParseTaskState(std::string_view text);
 Result<WorkerState> ParseWorkerState(std::string_view text);
 
-// Why a task is parked. Decides whether the planner may retry it by itself.
+// Reason why a task is parked. It decides whether the planner may retry the
+// task without an operator.
 enum class ParkReason : uint8_t {
   kNone = 0,
-  // Failed too often.
+  // The task reached its maximum number of failed attempts.
   kFailures,
-  // No worker can ever hold its size.
+  // No worker is large enough for the task, even when empty.
   kNoWorkerFits,
-  // A job or service that it depends on failed.
+  // A job or service that the task depends on failed.
   kDependencyFailed,
   kOperator,
 };
@@ -101,7 +102,8 @@
   Size size;
   std::string command;
   std::vector<std::string> depends_on;
-  // Time of creation in microseconds; older tasks of an account go first.
+  // Time of creation in microseconds; older tasks of an account are
+  // placed first.
   int64_t created_us = 0;
   // Configuration version that the declaration comes from.
   uint64_t config_version = 0;
@@ -118,13 +120,13 @@
   int64_t placed_us = 0;
   // Wall-clock time before which the task is not placed again.
   int64_t not_before_us = 0;
-  // Workers that attempts failed on, oldest first, and their number, which also
-  // counts those that have been dropped from the list.
+  // Workers on which attempts failed, oldest first. `failures` also counts
+  // those that have been dropped from the list.
   std::vector<std::string> failed_on;
   uint32_t failures = 0;
   uint32_t evictions = 0;
   ParkReason park_reason = ParkReason::kNone;
-  // What happened last, for operators.
+  // Cause of the latest state change, shown to operators.
   std::string reason;
   // Id of the transaction that wrote the row.
   std::string transaction;
@@ -156,7 +158,7 @@
   }
 };
 
-// What the worker is to do with an assigned attempt.
+// Action that the planner requests from the worker for an assigned attempt.
 enum class AssignmentAction : uint8_t {
   kRun = 0,
   // Checkpoint, stop and report.
@@ -170,8 +172,8 @@
   std::string task;
   uint32_t attempt = 0;
   Size size;
-  // Lease epoch under which it was assigned. An assignment of an older epoch
-  // than the worker row's is lost.
+  // Lease epoch of the worker when the attempt was assigned. The assignment is
+  // lost when the worker row's epoch is newer.
   uint64_t epoch = 0;
   AssignmentAction action = AssignmentAction::kRun;
   // Share of its processors that the task may use, in percent.
@@ -187,15 +189,17 @@
   std::string rack;
   std::string region;
   std::string boot_id;
-  // Grows when the lease is fenced and when the worker registers anew.
+  // Lease epoch. Increases when the worker is fenced and when it registers
+  // again.
   uint64_t epoch = 0;
-  // Grows with each renewal.
+  // Increases with each lease renewal.
   uint64_t sequence = 0;
-  // Wall-clock time at which the lease ends, for operators only: observers
-  // count from when they saw the sequence number.
+  // Wall-clock time at which the lease expires, for operators only: observers
+  // measure expiry from the time at which they first saw the sequence number.
   int64_t lease_deadline_us = 0;
   WorkerState state = WorkerState::kReady;
-  // An operator wants the worker empty; outlives fencing.
+  // True when an operator has requested that the worker be drained; stays set
+  // when the worker is fenced.
   bool drain_requested = false;
   std::vector<Assignment> assignments;
   std::string transaction;
@@ -214,8 +218,8 @@
 struct OwnerRow {
   std::string name;
   TaskKind kind = TaskKind::kBatch;
-  // Grows each time the name is declared anew after it was removed, so that
-  // task ids are never used twice.
+  // Increases each time the name is declared again after it was removed, so
+  // that task ids are never reused.
   uint64_t generation = 0;
   // Index of the next task to create.
   int64_t next_index = 0;
@@ -225,14 +229,17 @@
   // Checksum of that declaration.
   uint32_t declaration = 0;
   bool removed = false;
-  // An operator has stopped it: its tasks are checkpointed and parked.
+  // An operator has stopped the job or service: its tasks are checkpointed and
+  // parked.
   bool stopped = false;
   std::string transaction;
 
   bool operator==(const OwnerRow&) const = default;
 };
 
-// Lease of a planner. It only avoids conflicts; no promise depends on it.
+// Lease of a planner. It only reduces conflicts between planners. Correctness
+// does not depend on it: each commit checks the versions of the rows that it
+// changes.
 struct PlannerRow {
   std::string name;
   std::string holder;
@@ -257,14 +264,14 @@
 std::string ToText(const OwnerRow& row);
 std::string ToText(const PlannerRow& row);
 
-// Read a row that is not deleted. Errors are RowError.
+// Parse a row that is not deleted. Fail with a RowError.
 Result<TaskRow> ParseTask(const Row& row);
 Result<WorkerRow> ParseWorker(const Row& row);
 Result<OwnerRow> ParseOwner(const Row& row);
 Result<PlannerRow> ParsePlanner(const Row& row);
 
-// A row value with the version it was read at; version 0 means that the row
-// does not exist.
+// A row value with the version at which it was read; version 0 means that the
+// row does not exist.
 template <class T>
 struct Versioned {
   T row;
--- a/task/state.h
+++ b/task/state.h
@@ -60,7 +60,7 @@
   bool operator==(const AttemptOutcome&) const = default;
 };
 
-// An order of sizes for maps.
+// Orders sizes for use as map keys.
 struct SizeLess {
   bool operator()(const Size& a, const Size& b) const {
     return std::tie(a.millicores, a.memory_mib, a.accelerators) <
@@ -150,7 +150,7 @@
     return this->by_free_accelerators;
   }
 
-  // Ready workers, for samples at random.
+  // Ready workers, for random sampling.
   const std::vector<std::string>& ReadyWorkers() const { return this->ready; }
 
   // Workers with assignments of an older epoch.
--- a/task/testing/planner_test.cc
+++ b/task/testing/planner_test.cc
@@ -170,7 +170,7 @@
     table.Commit({"t", {}, {{TaskKey(StrCat("old", i)), "{}"}}}).value();
   table.Commit({"t", {}, {{TaskKey("new"), "{}"}}}).value();
   table.Commit({"t", {}, {{WorkerKey("w"), "{}"}}}).value();
-  Follower follower({.page = 10, .most_pages = 2, .recent_commits = 5});
+  Follower follower({.page = 10, .max_pages = 2, .recent_commits = 5});
   std::vector<Row> rows;
   ASSERT_TRUE(follower.Read(&table, &rows));
   EXPECT_EQ(rows.front().key, "worker/w");
--- a/task/transitions.h
+++ b/task/transitions.h
@@ -10,7 +10,8 @@
 //
 // Planners place, evict, fence and release; agents register, renew and report;
 // operators cancel, retry, drain and readmit. Since each transition expects the
-// versions that it was decided on, of two that race only one takes effect.
+// versions that it was decided on, only one of two concurrent transitions of a
+// row takes effect.
 // All of them may fail with ChartError::kNoTransition besides the errors named.
 
 #include <cstdint>
@@ -33,7 +34,7 @@
   kInBackoff,
   // The worker row does not list this attempt, or the task row names another.
   kStaleAttempt,
-  // The worker's lease epoch is another than the caller's.
+  // The worker's lease epoch differs from the caller's.
   kFenced,
   // The lease was renewed since it was observed.
   kLeaseRenewed,
@@ -41,7 +42,7 @@
   kStillRunning,
   // A share is not within 1 to 100 percent.
   kShareOutOfRange,
-  // The row exists, or does not, contrary to what the transition needs.
+  // The row exists but must not, or is missing.
   kRowState,
 };
 
@@ -51,8 +52,9 @@
   static std::string_view Message(TransitionError error);
 };
 
-// How often a failing batch task is tried, and the waits between the attempts.
-// Watchers and replicas are kept up, so they are retried without end.
+// Maximum number of attempts of a failing batch task, and the backoff between
+// attempts. Watchers and replicas must keep running, so they are retried
+// without limit.
 struct RetryPolicy {
   uint32_t max_attempts = 5;
   absl::Duration initial_backoff = absl::Seconds(5);
@@ -61,7 +63,7 @@
   // count.
   absl::Duration healthy_runtime = absl::Minutes(10);
 
-  // The wait after the given number of failures in a row, at least 1.
+  // The backoff after the given number of consecutive failures, at least 1.
   absl::Duration Backoff(uint32_t failures) const;
 };
 
@@ -114,7 +116,7 @@
             std::string_view reason,
             Batch* batch);
 
-// Makes a parked task wait again and clears its failures.
+// Returns a parked task to the waiting tasks and clears its failures.
 Status Retry(const TaskEntry& task, Batch* batch);
 
 // Makes a blocked task pending once its dependencies are met.
@@ -128,8 +130,8 @@
   uint64_t epoch = 0;
 };
 
-// The attempt succeeded. Watchers and replicas are to be kept up, so that for
-// them any end counts as a failure.
+// The attempt succeeded. Watchers and replicas must keep running, so any exit
+// of theirs counts as a failure.
 Status ReportFinished(const TaskEntry& task,
                       const WorkerEntry& worker,
                       const AttemptRef& ref,
