--- a/daemon/fleet_entry.h
+++ b/daemon/fleet_entry.h
@@ -53,8 +53,7 @@
   FleetEntry& operator=(const FleetEntry&) = delete;
 
   // Stops gracefully: reports not ready, releases the planner's lease, answers
-  // the requests that still arrive, and closes the callers' connections. Blocks
-  // for up to the configured grace period.
+  // the requests that still arrive, and closes the callers' connections.
   void Shutdown();
 
  private:
