--- a/config/error.cc
+++ b/config/error.cc
@@ -43,9 +43,9 @@
     case ConfigError::kDamagedRow:
       return "row of the configuration can't be read";
     case ConfigError::kDamagedDelta:
-      return "delta is damaged or does not produce the state it names";
+      return "delta does not lead to the state it names";
     case ConfigError::kMissingBase:
-      return "delta starts above the local version";
+      return "delta starts above the version held";
   }
   return "unknown configuration error";
 }
--- a/task/explain.cc
+++ b/task/explain.cc
@@ -22,7 +22,7 @@
     case TaskState::kBlocked:
       return StrCat("waits for ", StrJoin(task.depends_on, ", "));
     case TaskState::kPending:
-      return "waits for its turn and for free capacity";
+      return "waits for its turn and for room";
     case TaskState::kStarting:
     case TaskState::kRunning:
     case TaskState::kResumed:
@@ -33,7 +33,7 @@
       return StrCat("was evicted and waits to resume: ", task.reason);
     case TaskState::kFailed:
       return StrCat("failed ", task.failures,
-                    " times and is retried: ", task.reason);
+                    " times and is tried again: ", task.reason);
     case TaskState::kParked:
       return StrCat("is parked (", ToString(task.park_reason),
                     "): ", task.reason);
@@ -87,7 +87,7 @@
                                 absl::Time now) {
   Record& record = this->RecordFor(task.id);
   record.why = StrCat("placed on ", worker.id, ", the best of ", candidates,
-                      " workers with enough free capacity");
+                      " workers with room");
   record.decided_us = ToMicros(now);
   record.score = score;
   record.candidates = static_cast<int64_t>(candidates);
--- a/task/operate.cc
+++ b/task/operate.cc
@@ -5,7 +5,7 @@
 std::string_view ErrorTraits<OperateError>::Message(OperateError error) {
   switch (error) {
     case OperateError::kBusy:
-      return "rows kept changing; gave up after the maximum number of attempts";
+      return "rows changed too often while the step was decided";
   }
   return "unknown operate error";
 }
--- a/task/placer_internal.h
+++ b/task/placer_internal.h
@@ -33,12 +33,11 @@
     best_score = score;
   }
   if (best == nullptr) {
-    explainer->RecordWait(
-        task,
-        candidates.empty()
-            ? "no worker has enough free capacity for it now"
-            : "no worker with enough free capacity is suitable for it now",
-        now);
+    explainer->RecordWait(task,
+                          candidates.empty()
+                              ? "no worker has room for it now"
+                              : "no worker with room is suitable for it now",
+                          now);
     return false;
   }
   // Copies, because Place() changes the rows in the state.
--- a/task/testing/planner_test.cc
+++ b/task/testing/planner_test.cc
@@ -134,7 +134,7 @@
   EXPECT_EQ(placed.scores[0].first, "total");
   EXPECT_EQ(placed.candidates > 0, true);
   EXPECT_NE(this->planner.Explain("waits").value().why.find(
-                "no worker has enough free capacity for it now"),
+                "no worker has room for it now"),
             std::string::npos);
   EXPECT_EQ(this->planner.Explain("absent").error(),
             ExplainError::kUnknownTask);
